--- a/brambleplank/fleet/retirement/evidence.py
+++ b/brambleplank/fleet/retirement/evidence.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from brambleplank.fleet.leases.counts import CountKind, Coverage, Totals, key_of, no_totals
-from brambleplank.fleet.retirement.plan import Retirement, Stage, Step
+from brambleplank.fleet.retirement.plan import Retirement, RetirementStage, RetirementStep
 
 EVIDENCE_WINDOW = 60.0  # seconds over which evidence is weighed
 SAMPLES = 12  # of the counts in a window
@@ -90,7 +90,7 @@
         refused_share = self.samples.refused_share(retirement)
         self.baselines[retirement.name] = Baseline(refused_share, self.samples.offered(retirement))
 
-    def reason_to_halt(self, now: float, retirement: Retirement, step: Step) -> str:
+    def reason_to_halt(self, now: float, retirement: Retirement, step: RetirementStep) -> str:
         """Returns why nobody should be turned away now; "" if nothing speaks against it."""
         coverage = self.coverage(now)
         if coverage.reachable < MIN_REACHABLE_SHARE * coverage.members:
@@ -101,7 +101,7 @@
         refused = self.samples.refused_share(retirement)
         if refused > baseline.refused_share + MAX_REFUSAL_INCREASE:
             return f"the successor refuses {refused:.0%} of its flows, {baseline.refused_share:.0%} before"
-        if step.stage == Stage.SHEDDING and baseline.offered:
+        if step.stage == RetirementStage.SHEDDING and baseline.offered:
             offered = self.samples.offered(retirement)
             if offered > RETRY_STORM_FACTOR * baseline.offered + MIN_REQUESTS:
                 return f"callers come again in a storm: {offered} flows a minute, {baseline.offered} before"
--- a/brambleplank/fleet/retirement/plan.py
+++ b/brambleplank/fleet/retirement/plan.py
@@ -21,7 +21,7 @@
 POSITION_BYTES = 6  # of the hash that gives a caller its position
 
 
-class Stage(StrEnum):
+class RetirementStage(StrEnum):
     """What happens to callers in a step of a retirement."""
 
     ANNOUNCED = "announced"
@@ -31,8 +31,13 @@
     ENDED = "ended"
 
 
-CALLERS_WARNED = (Stage.WARNED, Stage.PAUSED, Stage.SHEDDING, Stage.ENDED)
-CALLERS_TURNED_AWAY = (Stage.PAUSED, Stage.SHEDDING)  # before the end
+CALLERS_WARNED = (
+    RetirementStage.WARNED,
+    RetirementStage.PAUSED,
+    RetirementStage.SHEDDING,
+    RetirementStage.ENDED,
+)
+CALLERS_TURNED_AWAY = (RetirementStage.PAUSED, RetirementStage.SHEDDING)  # before the end
 
 
 def dated(does: str) -> Meta:
@@ -134,36 +139,38 @@
 
 
 @dataclass(frozen=True)
-class Step:
+class RetirementStep:
     """Where a retirement can be."""
 
-    stage: Stage
+    stage: RetirementStage
     share: float  # of the callers that are turned away
     due: float  # Unix seconds from which it may begin
     joined: tuple[str, ...] = ()  # customers with more time whose end has come
 
 
-def steps_of(retirement: Retirement) -> list[Step]:
+def steps_of(retirement: Retirement) -> list[RetirementStep]:
     """Returns all steps in order. One left out by a clock that jumps would shed callers without warning."""
     steps = [
-        Step(Stage.ANNOUNCED, 0.0, retirement.announced.timestamp()),
-        Step(Stage.WARNED, 0.0, retirement.warned.timestamp()),
+        RetirementStep(RetirementStage.ANNOUNCED, 0.0, retirement.announced.timestamp()),
+        RetirementStep(RetirementStage.WARNED, 0.0, retirement.warned.timestamp()),
     ]
     for pause in sorted(retirement.pause, key=lambda each: each.at):
         begins = pause.at.timestamp()
-        steps.append(Step(Stage.PAUSED, 1.0, begins))
-        steps.append(Step(Stage.WARNED, 0.0, begins + pause.lasts))
+        steps.append(RetirementStep(RetirementStage.PAUSED, 1.0, begins))
+        steps.append(RetirementStep(RetirementStage.WARNED, 0.0, begins + pause.lasts))
     shed_at = retirement.shed.timestamp()
     ended_at = retirement.ended.timestamp()
     for n, share in enumerate(retirement.shares):
         due = shed_at + (ended_at - shed_at) * n / len(retirement.shares)
-        steps.append(Step(Stage.SHEDDING, share, due))
-    steps.append(Step(Stage.ENDED, 1.0, ended_at))
+        steps.append(RetirementStep(RetirementStage.SHEDDING, share, due))
+    steps.append(RetirementStep(RetirementStage.ENDED, 1.0, ended_at))
     joined: tuple[str, ...] = ()
     for terms in sorted((c for c in retirement.customer if c.ended), key=lambda c: str(c.ended)):
         joined = (*joined, terms.customer)
         assert terms.ended is not None
-        steps.append(Step(Stage.ENDED, 1.0, max(ended_at, terms.ended.timestamp()), joined))
+        steps.append(
+            RetirementStep(RetirementStage.ENDED, 1.0, max(ended_at, terms.ended.timestamp()), joined)
+        )
     return steps
 
 
@@ -176,7 +183,7 @@
     return int.from_bytes(digest, "big") / (1 << 8 * POSITION_BYTES)
 
 
-def turns_away(retirement: Retirement, step: Step, customer: str, caller: str) -> bool:
+def turns_away(retirement: Retirement, step: RetirementStep, customer: str, caller: str) -> bool:
     """Returns whether a step turns the caller away."""
     if retirement.lasts_until(customer) is not None:
         return customer in step.joined
--- a/brambleplank/fleet/retirement/progress.py
+++ b/brambleplank/fleet/retirement/progress.py
@@ -21,8 +21,8 @@
     CALLERS_TURNED_AWAY,
     CALLERS_WARNED,
     Retirement,
-    Stage,
-    Step,
+    RetirementStage,
+    RetirementStep,
     steps_of,
     turns_away,
 )
@@ -37,7 +37,7 @@
 NOT_BEGUN = -1  # the step of a retirement that was not announced yet
 
 
-class Place(msgspec.Struct, array_like=True, frozen=True):
+class RetirementPosition(msgspec.Struct, array_like=True, frozen=True):
     """How far one retirement is: the step, counted from 0, and why it is halted."""
 
     name: str
@@ -45,7 +45,9 @@
     halted: str = ""
 
 
-PLACES_DECODER: msgspec.json.Decoder[list[Place]] = msgspec.json.Decoder(list[Place])
+PLACES_DECODER: msgspec.json.Decoder[list[RetirementPosition]] = msgspec.json.Decoder(
+    list[RetirementPosition]
+)
 
 
 class RetirementTable(Protocol):
@@ -69,9 +71,9 @@
 
     def __init__(self) -> None:
         self.table: object = None
-        self.steps: dict[str, list[Step]] = {}
+        self.steps: dict[str, list[RetirementStep]] = {}
 
-    def steps_of(self, table: object, retirement: Retirement) -> list[Step]:
+    def steps_of(self, table: object, retirement: Retirement) -> list[RetirementStep]:
         """Returns the steps of a retirement of a table; those of another table are forgotten."""
         if self.table is not table:
             self.table = table
@@ -97,7 +99,7 @@
         self.wall = wall
         self.log = log
         self.now = fleet.identity.began  # at the last turn
-        self.positions: dict[str, Place] = {}
+        self.positions: dict[str, RetirementPosition] = {}
         self.entered: dict[str, float] = {}  # when a step came into force here
         self.step_cache = StepCache()
         self.samples = CountSamples(fleet.counts.fleet)
@@ -115,17 +117,17 @@
 
     # Requests.
 
-    def current_step(self, retirement: Retirement) -> Step | None:
+    def current_step(self, retirement: Retirement) -> RetirementStep | None:
         """Returns the step in force; None: nothing was announced yet."""
         place = self.positions.get(retirement.name)
         return self.numbered_step(retirement, place.step) if place else None
 
-    def numbered_step(self, retirement: Retirement, number: int) -> Step | None:
+    def numbered_step(self, retirement: Retirement, number: int) -> RetirementStep | None:
         """Returns the step of a number, if there is one."""
         steps = self.steps_of(retirement)
         return steps[number] if 0 <= number < len(steps) else None
 
-    def steps_of(self, retirement: Retirement) -> list[Step]:
+    def steps_of(self, retirement: Retirement) -> list[RetirementStep]:
         """Returns all steps of a retirement of the table in force."""
         return self.step_cache.steps_of(self.routing.table, retirement)
 
@@ -142,7 +144,7 @@
             return False
         if not turns_away(retirement, step, customer, caller):
             return False
-        may_halt = step.stage != Stage.ENDED
+        may_halt = step.stage != RetirementStage.ENDED
         if may_halt and (place.halted or self.fleet.partitioned or not self.fleet.has_lease(now)):
             return False  # Partitioned, it would not receive a halt; callers are served until it can.
         return not retirement.ceiling or self.fleet.take(now, retirement.ceiling)
@@ -150,7 +152,7 @@
     def moves(self, now: float, retirement: Retirement, standing: int) -> int:
         """Returns how many of the sessions with an ended version are to be migrated in this second."""
         step = self.current_step(retirement)
-        if step is None or step.stage != Stage.ENDED or retirement.halted or not standing:
+        if step is None or step.stage != RetirementStage.ENDED or retirement.halted or not standing:
             return 0
         left = self.entered.get(retirement.name, now) + retirement.move_within - now
         wanted = -(-standing // max(1, round(left)))
@@ -176,7 +178,7 @@
         objections = (self.objection(place) for place in places)
         done(next((objection for objection in objections if objection), ""))
 
-    def objection(self, place: Place) -> str:
+    def objection(self, place: RetirementPosition) -> str:
         """Returns what this process has against a proposed step; "" if nothing."""
         retirement = self.routing.table.retirements.get(place.name)
         before = self.positions.get(place.name)
@@ -202,13 +204,13 @@
                 self.log_place(place)
         self.positions = places
 
-    def log_place(self, place: Place) -> None:
+    def log_place(self, place: RetirementPosition) -> None:
         """Logs where a retirement of the table in force is."""
         retirement = self.routing.table.retirements.get(place.name)
         step = self.numbered_step(retirement, place.step) if retirement is not None else None
         if step is None:
             return
-        share = f", {step.share:.0%} turned away" if step.stage == Stage.SHEDDING else ""
+        share = f", {step.share:.0%} turned away" if step.stage == RetirementStage.SHEDDING else ""
         halted = f"; halted: {place.halted}" if place.halted else ""
         self.log(f"retirement {place.name}: {step.stage}{share}{halted}")
 
@@ -227,7 +229,7 @@
             digest = self.agreement.texts.keep(msgspec.json.encode(wanted))
             proposer.propose(now, self.agreement.newest + 1, digest, self.fleet.identity.number)
 
-    def next_place(self, now: float, retirement: Retirement) -> Place | None:
+    def next_place(self, now: float, retirement: Retirement) -> RetirementPosition | None:
         """Returns where a retirement should be: as it is, one step on, halted, or no longer halted."""
         place = self.positions.get(retirement.name)
         number = place.step if place else NOT_BEGUN
@@ -240,9 +242,9 @@
             if following.stage in CALLERS_TURNED_AWAY and not is_turning_away(step):
                 self.evidence.take_baseline(retirement)
             number += 1
-        return Place(retirement.name, number, halted) if number != NOT_BEGUN else None
+        return RetirementPosition(retirement.name, number, halted) if number != NOT_BEGUN else None
 
-    def halted(self, now: float, retirement: Retirement, step: Step | None, reason: str) -> str:
+    def halted(self, now: float, retirement: Retirement, step: RetirementStep | None, reason: str) -> str:
         """Returns why a retirement should be halted, given why it is; "" if it should not be."""
         if step is None or not is_turning_away(step):
             return ""
@@ -255,7 +257,9 @@
         quiet_since = self.evidence_at.setdefault(retirement.name, now)
         return "" if now >= quiet_since + HALT_RECOVERY_TIME else reason
 
-    def is_due(self, now: float, retirement: Retirement, step: Step | None, following: Step) -> bool:
+    def is_due(
+        self, now: float, retirement: Retirement, step: RetirementStep | None, following: RetirementStep
+    ) -> bool:
         """Returns whether a step has lasted as long as it has to, and the date of the next has come."""
         entered = self.entered.get(retirement.name)
         if step is not None and entered is not None:
@@ -265,6 +269,6 @@
         return self.wall() >= following.due
 
 
-def is_turning_away(step: Step | None) -> bool:
+def is_turning_away(step: RetirementStep | None) -> bool:
     """Returns whether callers are turned away in a step before the end."""
     return step is not None and step.stage in CALLERS_TURNED_AWAY
--- a/brambleplank/fleet/routing/active_routes.py
+++ b/brambleplank/fleet/routing/active_routes.py
@@ -32,7 +32,7 @@
 class ReadTable:
     """What reading and linting a text came to."""
 
-    table: route_table.Table | None  # None: the text has faults
+    table: route_table.RouteTable | None  # None: the text has faults
     faults: list[str]
     findings: list[Finding]
 
@@ -42,7 +42,7 @@
         return self.faults or [str(finding) for finding in self.findings if finding.objects]
 
 
-class TableError(FleetError):
+class RouteTableError(FleetError):
     """A route table that cannot be used."""
 
     ADVICE = "mend the line that is named; the table in force stays"
@@ -59,7 +59,7 @@
         text: bytes,
         log: Callable[[str], Any],
     ) -> None:
-        """`text` is this process's file. Raises TableError if it has a fault."""
+        """`text` is this process's file. Raises RouteTableError if it has a fault."""
         self.fleet = fleet
         self.known = known
         self.work = work
@@ -67,10 +67,10 @@
         table, faults = route_table.read(text.decode(errors="replace"))
         if table is None:
             more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
-            raise TableError(f"{faults[0]}{more}")
+            raise RouteTableError(f"{faults[0]}{more}")
         self.table = table
         self.began = fleet.identity.began
-        self.tables: dict[int, route_table.Table] = {}  # prepared, by the digests of their texts
+        self.tables: dict[int, route_table.RouteTable] = {}  # prepared, by the digests of their texts
         self.by_file = False  # whether no member said which version is in force
         self.agreement = VersionAgreement(
             fleet.agreement_identity(KIND, "routes"),
@@ -125,7 +125,7 @@
             return ReadTable(None, list(map(str, faults)), [])
         return ReadTable(table, [], lint(table, self.known(first_sight)))
 
-    def keep(self, digest: int, table: route_table.Table) -> None:
+    def keep(self, digest: int, table: route_table.RouteTable) -> None:
         """Stores a prepared table, and drops the oldest beyond the limit."""
         self.tables[digest] = table
         while len(self.tables) > TABLES_KEPT:
--- a/brambleplank/fleet/routing/admission.py
+++ b/brambleplank/fleet/routing/admission.py
@@ -8,7 +8,7 @@
 from brambleplank.fleet.leases.account import Account
 from brambleplank.fleet.leases.counts import CountKind
 from brambleplank.fleet.member import FleetMember
-from brambleplank.fleet.retirement.plan import Retirement, Stage, turns_away
+from brambleplank.fleet.retirement.plan import Retirement, RetirementStage, turns_away
 from brambleplank.fleet.retirement.progress import RetirementProgress
 from brambleplank.fleet.routing.active_routes import ActiveRoutes
 from brambleplank.fleet.routing.route_table import Route
@@ -184,7 +184,7 @@
             return found
         for retirement in self.routing.table.retirements.values():
             step = self.retiring.current_step(retirement)
-            if step is None or step.stage != Stage.ENDED:
+            if step is None or step.stage != RetirementStage.ENDED:
                 continue
             standing = [
                 flow
--- a/brambleplank/fleet/routing/findings.py
+++ b/brambleplank/fleet/routing/findings.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from brambleplank.fleet.retirement.plan import Step
+from brambleplank.fleet.retirement.plan import RetirementStep
 from brambleplank.fleet.routing.route_table import Route
 
 MAX_FINDINGS = 200  # of one kind; the rest is counted
@@ -39,7 +39,7 @@
     notices: bool = True  # whether clients may be sent a line after UP
     wall_time: float | None = None  # Unix seconds, on first sight of a table
     # How far each retirement is: the number of its step, and the step.
-    retirement_steps: Mapping[str, tuple[int, Step]] = field(default_factory=dict)
+    retirement_steps: Mapping[str, tuple[int, RetirementStep]] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, order=True)
--- a/brambleplank/fleet/routing/lint.py
+++ b/brambleplank/fleet/routing/lint.py
@@ -14,7 +14,7 @@
 from brambleplank.fleet.routing.findings import Finding, FindingKind, FindingList, LintContext
 from brambleplank.fleet.routing.key_ranges import ALL_KEYS
 from brambleplank.fleet.routing.retirement_lint import RetirementLint
-from brambleplank.fleet.routing.route_table import Route, Table
+from brambleplank.fleet.routing.route_table import Route, RouteTable
 from brambleplank.fleet.routing.rule_sets import KeySets, ValueSets, members_of
 from brambleplank.fleet.routing.rules import Rule
 
@@ -25,7 +25,7 @@
 RULES_NAMED = 4  # of those that shadow a rule
 
 
-def lint(table: Table, known: LintContext) -> list[Finding]:
+def lint(table: RouteTable, known: LintContext) -> list[Finding]:
     """Returns everything that is wrong with a table, by line."""
     findings = FindingList()
     if table.routes:
@@ -43,7 +43,7 @@
 class NameLint:
     """Finds rules that name what nothing in the fleet has."""
 
-    def __init__(self, table: Table, known: LintContext, findings: FindingList) -> None:
+    def __init__(self, table: RouteTable, known: LintContext, findings: FindingList) -> None:
         self.table = table
         self.known = known
         self.findings = findings
@@ -112,7 +112,7 @@
 class OverlapLint:
     """Finds rules that earlier ones shadow or contradict."""
 
-    def __init__(self, table: Table, known: LintContext, findings: FindingList) -> None:
+    def __init__(self, table: RouteTable, known: LintContext, findings: FindingList) -> None:
         self.table = table
         self.routes = table.routes
         self.known = known
--- a/brambleplank/fleet/routing/retirement_lint.py
+++ b/brambleplank/fleet/routing/retirement_lint.py
@@ -7,7 +7,7 @@
 
 from brambleplank.fleet.retirement.plan import Retirement, steps_of
 from brambleplank.fleet.routing.findings import FindingKind, FindingList, LintContext
-from brambleplank.fleet.routing.route_table import Table
+from brambleplank.fleet.routing.route_table import RouteTable
 from brambleplank.fleet.routing.rules import Rule
 
 
@@ -21,7 +21,7 @@
 class RetirementLint:
     """The retirements of one table, held against what one process knows."""
 
-    def __init__(self, table: Table, known: LintContext, findings: FindingList) -> None:
+    def __init__(self, table: RouteTable, known: LintContext, findings: FindingList) -> None:
         self.table = table
         self.known = known
         self.findings = findings
--- a/brambleplank/fleet/routing/route_table.py
+++ b/brambleplank/fleet/routing/route_table.py
@@ -56,7 +56,7 @@
         return [Pattern(*values) for values in product(types, customers, versions)]
 
 
-class Table:
+class RouteTable:
     """Rules in their order, prepared for look-ups."""
 
     def __init__(self, routes: list[Route], versions: list[str], retirements: list[Retirement]) -> None:
@@ -110,7 +110,7 @@
         return self.routes[first] if first < len(self.routes) else None
 
 
-def read(text: str) -> tuple[Table | None, list[Fault]]:
+def read(text: str) -> tuple[RouteTable | None, list[Fault]]:
     """Returns the table of a file, or every fault of it by line and key."""
     reading = DocumentReader(text)
     if reading.is_unreadable:
@@ -119,7 +119,7 @@
     judged([lambda: check_file(reading, file)])
     if reading.faults:
         return None, sorted(set(reading.faults))
-    table = Table(routes_of(reading, file), file.versions, file.retirement)
+    table = RouteTable(routes_of(reading, file), file.versions, file.retirement)
     for n, retirement in enumerate(file.retirement):
         table.lines[retirement.name] = reading.key_lines.line_of(("retirement", n))
     return table, []
--- a/brambleplank/net/fleet_link.py
+++ b/brambleplank/net/fleet_link.py
@@ -12,7 +12,7 @@
 from brambleplank.decisions.balancer import Balancer
 from brambleplank.fleet.errors import ForeignError
 from brambleplank.fleet.member import FleetMember
-from brambleplank.fleet.retirement.plan import Step
+from brambleplank.fleet.retirement.plan import RetirementStep
 from brambleplank.fleet.retirement.progress import RetirementProgress
 from brambleplank.fleet.routing.active_routes import ActiveRoutes, requests_counted
 from brambleplank.fleet.routing.admission import RequestAdmission
@@ -73,7 +73,7 @@
         """Joins the fleet.
 
         `send` takes a datagram and a member's number, or None for all members; `notices` says whether clients
-        may be sent notices. Raises TableError, or OSError for a file of routes that cannot be read.
+        may be sent notices. Raises RouteTableError, or OSError for a file of routes that cannot be read.
         """
         self._host = host
         self._clock = host.clock
@@ -111,7 +111,7 @@
         )
 
     def _follow_routes(self, path: Path) -> None:
-        """Reads the first table of routes. Raises TableError or OSError."""
+        """Reads the first table of routes. Raises RouteTableError or OSError."""
         text = path.read_bytes()
         self.routing = ActiveRoutes(
             self.fleet, self.lint_context, self.run_in_thread, text, self._log.write_line
@@ -184,7 +184,7 @@
             retirement_steps=self._retirement_steps(),
         )
 
-    def _retirement_steps(self) -> dict[str, tuple[int, Step]]:
+    def _retirement_steps(self) -> dict[str, tuple[int, RetirementStep]]:
         """Returns how far each retirement is: the number of its step, and the step."""
         if self.routing is None or self.retiring is None:
             return {}
--- a/brambleplank/platform/fleet_membership.py
+++ b/brambleplank/platform/fleet_membership.py
@@ -4,7 +4,7 @@
 
 from brambleplank.checks import InvalidConfigurationError
 from brambleplank.fleet.messages import FORMAT
-from brambleplank.fleet.routing.active_routes import TableError
+from brambleplank.fleet.routing.active_routes import RouteTableError
 from brambleplank.fleet.shapes import FleetSettings
 from brambleplank.net.fleet_link import FleetLink
 from brambleplank.net.proxy import Proxy
@@ -32,7 +32,7 @@
         )
     except OSError as error:
         raise InvalidConfigurationError(f"fleet.routes: {fleet.routes}: {error.strerror}") from None
-    except TableError as error:
+    except RouteTableError as error:
         raise InvalidConfigurationError(f"fleet.routes: {fleet.routes}: {error}") from None
     proxy.requests.set_fleet_admission(fleet_link)
     peers.add_reader(FORMAT, lambda data, number: fleet_link.datagram_received(data, number - first_number))
--- a/brambleplank/sidecar/run.py
+++ b/brambleplank/sidecar/run.py
@@ -109,7 +109,7 @@
     def share(self) -> None:
         """Takes part in the fleet, where the file has one.
 
-        Raises Twisted's CannotListenError, TableError, or OSError for a file of rules that cannot be read.
+        Raises Twisted's CannotListenError, RouteTableError, or OSError if the file of rules cannot be read.
         """
         if self.file.fleet is None:
             return
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -14,8 +14,14 @@
 from brambleplank.fleet.errors import BrokenError
 from brambleplank.fleet.leases.budgets import Budget
 from brambleplank.fleet.leases.counts import CountKind
-from brambleplank.fleet.retirement.plan import Stage, Step, caller_position, steps_of, turns_away
-from brambleplank.fleet.retirement.progress import HALT_RECOVERY_TIME, Place, RetirementProgress
+from brambleplank.fleet.retirement.plan import (
+    RetirementStage,
+    RetirementStep,
+    caller_position,
+    steps_of,
+    turns_away,
+)
+from brambleplank.fleet.retirement.progress import HALT_RECOVERY_TIME, RetirementPosition, RetirementProgress
 from brambleplank.fleet.routing import route_table
 from brambleplank.fleet.routing.active_routes import ActiveRoutes
 from brambleplank.fleet.routing.admission import RequestAdmission
@@ -59,7 +65,7 @@
     )
 
 
-def table_of(text: str) -> route_table.Table:
+def table_of(text: str) -> route_table.RouteTable:
     table, faults = route_table.read(text)
     assert table is not None, faults
     return table
@@ -68,8 +74,13 @@
 @given(st.text(max_size=20), st.lists(st.floats(0.001, 0.999), min_size=1, max_size=6, unique=True))
 def test_caller_stays_turned_away_as_the_share_grows(caller: str, shares: list[float]) -> None:
     retirement = table_of(timeline()).retirements["maps v1"]
-    away = [turns_away(retirement, Step(Stage.SHEDDING, share, 0.0), "", caller) for share in sorted(shares)]
-    assert away == sorted(away) and turns_away(retirement, Step(Stage.ENDED, 1.0, 0.0), "", caller)
+    away = [
+        turns_away(retirement, RetirementStep(RetirementStage.SHEDDING, share, 0.0), "", caller)
+        for share in sorted(shares)
+    ]
+    assert away == sorted(away) and turns_away(
+        retirement, RetirementStep(RetirementStage.ENDED, 1.0, 0.0), "", caller
+    )
 
 
 def test_share_matches_callers_turned_away() -> None:
@@ -132,7 +143,7 @@
         (timeline().replace('retirement = "maps v1"', 'retirement = "v3"'), {}, "no rule goes by it"),
         (
             timeline(),
-            {"retirement_steps": {"maps v1": (4, Step(Stage.SHEDDING, 0.5, 0.0))}},
+            {"retirement_steps": {"maps v1": (4, RetirementStep(RetirementStage.SHEDDING, 0.5, 0.0))}},
             "would move it back",
         ),
         (
@@ -372,7 +383,7 @@
     simulation = retires(3)
     simulation.up_to(30)
     retiring = simulation.retiring[0]
-    retiring.positions["maps v1"] = Place("maps v1", 0)
+    retiring.positions["maps v1"] = RetirementPosition("maps v1", 0)
     with pytest.raises(BrokenError):  # as seen from outside
         simulation.run(0.5)
     simulation.steps[0].append(0)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -55,7 +55,7 @@
     return "\n".join(lines)
 
 
-def table_of(rules: list[dict[str, Any]], versions: list[str] | None = None) -> route_table.Table:
+def table_of(rules: list[dict[str, Any]], versions: list[str] | None = None) -> route_table.RouteTable:
     table, faults = route_table.read(text_of(rules, versions))
     assert table is not None, faults
     return table
