--- a/brambleplank/fleet/retirement/progress.py
+++ b/brambleplank/fleet/retirement/progress.py
@@ -107,7 +107,7 @@
         self.evidence_at: dict[str, float] = {}  # when a reason to halt was last found
         self.agreement = VersionAgreement(
             fleet.agreement_identity(KIND, "retirements"),
-            AgreementCallbacks(fleet.send, self.judge, self.apply, log),
+            AgreementCallbacks(fleet.send, self.review, self.apply, log),
             fleet.rng,
             one_objection_rejects=False,
         )
@@ -165,7 +165,7 @@
 
     # Called by the agreement.
 
-    def judge(self, digest: int, text: bytes, done: Callable[[str], None]) -> None:  # noqa: ARG002
+    def review(self, digest: int, text: bytes, done: Callable[[str], None]) -> None:  # noqa: ARG002
         """Judges proposed steps by this process's own clock.
 
         Otherwise one clock that has jumped would turn callers away a month early.
@@ -226,8 +226,8 @@
         found = [self.next_place(now, each) for each in self.routing.table.retirements.values()]
         wanted = [place for place in found if place is not None]
         if wanted != [*self.positions.values()]:
-            digest = self.agreement.texts.keep(msgspec.json.encode(wanted))
-            proposer.propose(now, self.agreement.newest + 1, digest, self.fleet.identity.number)
+            digest = self.agreement.texts.store(msgspec.json.encode(wanted))
+            proposer.propose(now, self.agreement.highest_version + 1, digest, self.fleet.identity.number)
 
     def next_place(self, now: float, retirement: Retirement) -> RetirementPosition | None:
         """Returns where a retirement should be: as it is, one step on, halted, or no longer halted."""
--- a/brambleplank/fleet/routing/active_routes.py
+++ b/brambleplank/fleet/routing/active_routes.py
@@ -74,11 +74,11 @@
         self.by_file = False  # whether no member said which version is in force
         self.agreement = VersionAgreement(
             fleet.agreement_identity(KIND, "routes"),
-            AgreementCallbacks(fleet.send, self.judge, self.apply, log),
+            AgreementCallbacks(fleet.send, self.review, self.apply, log),
             fleet.rng,
         )
         fleet.agreements.add(self.agreement)
-        self.agreement.begin_with(text)
+        self.agreement.set_initial_text(text)
         work(lambda: lint(table, self.known(False)), self.log_lines)
 
     def is_ready(self, now: float) -> bool:
@@ -113,7 +113,7 @@
             if read.table is None or read.objections:
                 self.log("routes: not published; the table in force stays")
             else:
-                self.keep(digest, read.table)
+                self.store_table(digest, read.table)
                 self.agreement.publish(text, self.fleet.election.leader)
 
         self.work(lambda: self.read(text, True), done)
@@ -125,7 +125,7 @@
             return ReadTable(None, list(map(str, faults)), [])
         return ReadTable(table, [], lint(table, self.known(first_sight)))
 
-    def keep(self, digest: int, table: route_table.RouteTable) -> None:
+    def store_table(self, digest: int, table: route_table.RouteTable) -> None:
         """Stores a prepared table, and drops the oldest beyond the limit."""
         self.tables[digest] = table
         while len(self.tables) > TABLES_KEPT:
@@ -133,12 +133,12 @@
 
     # Called by the agreement.
 
-    def judge(self, digest: int, text: bytes, done: Callable[[str], None]) -> None:
+    def review(self, digest: int, text: bytes, done: Callable[[str], None]) -> None:
         """Reads and lints a proposed text, and calls back with the first objection."""
 
         def finish(read: ReadTable) -> None:
             if read.table is not None:
-                self.keep(digest, read.table)
+                self.store_table(digest, read.table)
             done(read.objections[0] if read.objections else "")
 
         self.work(lambda: self.read(text, False), finish)
--- a/brambleplank/fleet/versions/agreement.py
+++ b/brambleplank/fleet/versions/agreement.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class UnfinishedAnnouncement:
+class PendingAnnouncement:
     """An announcement whose texts are still being fetched or judged."""
 
     leader: int
@@ -70,18 +70,18 @@
         self.identity = identity
         self.callbacks = callbacks
         self.texts = TextStore(identity, callbacks.send, self.digests_in_use)
-        self.reviews = TextReviews(callbacks.judge, self.texts.text)
+        self.reviews = TextReviews(callbacks.review, self.texts.text)
         self.proposer = Proposer(identity, callbacks, self, self.texts, self.reviews, one_objection_rejects)
         self.startup = StartupDiscovery(identity, rng)
         self.version = 0  # in force here; 0: none was agreed on yet
         self.digest = 0  # of its text
         self.is_current = False  # whether it has learnt since its start which version is in force
-        self.newest = 0  # the highest version seen
+        self.highest_version = 0  # the highest version seen
         self.accepted = NOTHING_ACCEPTED
         self.file_digest: int | None = None  # the file, used until a version is in force
         self.publication: PublicationRequest | None = None  # asked for by this process, not decided yet
         self.newest_announcement = AnnouncementId()
-        self.unfinished: UnfinishedAnnouncement | None = None
+        self.pending_announcement: PendingAnnouncement | None = None
 
     def digests_in_use(self) -> set[int | None]:
         """Returns the texts that must be kept."""
@@ -93,9 +93,9 @@
 
     # Calls of this process.
 
-    def begin_with(self, text: bytes) -> None:
+    def set_initial_text(self, text: bytes) -> None:
         """Takes the file, used until the fleet says which version is in force."""
-        self.file_digest = self.texts.keep(text)
+        self.file_digest = self.texts.store(text)
 
     def publish(self, text: bytes, leader: int | None) -> None:
         """Asks the leader to publish an operator's text, now and with each report until it is decided."""
@@ -104,25 +104,25 @@
             return
         # Without the version that it replaces, a request from before a partition could replace a version
         # that was published during it.
-        self.publication = PublicationRequest(self.texts.keep(text), replaces=self.version)
+        self.publication = PublicationRequest(self.texts.store(text), replaces=self.version)
         self.send_publish_request(leader)
 
     def tick(self, now: float, leader: int | None) -> None:
         """Called about every tenth of a second."""
         self.texts.request_chunks(now)
-        unfinished = self.unfinished
-        if unfinished is not None:
+        pending = self.pending_announcement
+        if pending is not None:
             # Waiting for the next announcement would delay the halt of a retirement by a second.
-            self.unfinished = None
-            if unfinished.leader == leader:
-                self.apply_announcement(unfinished.leader, unfinished.message)
+            self.pending_announcement = None
+            if pending.leader == leader:
+                self.apply_announcement(pending.leader, pending.message)
         self.proposer.tick(now)
 
     def report(self, now: float, leader: int | None) -> None:
         """Sends this member's report to the leader, and as the leader the announcement to all."""
         report = self.version_report()
         if not self.version:
-            for member in self.startup.members_to_ask(leader):
+            for member in self.startup.members_to_query(leader):
                 self.callbacks.send(report, member)
         if leader is None:
             return
@@ -175,17 +175,17 @@
         if not announcement.supersedes(self.newest_announcement):
             return  # A late one without a proposal would undo what was accepted since.
         self.newest_announcement = announcement
-        self.unfinished = None
+        self.pending_announcement = None
         self.apply_announcement(leader, message)
 
     def apply_announcement(self, leader: int, message: messages.VersionAnnouncement) -> None:
         """Applies what is in force, then votes on what is proposed, as far as the texts are here."""
-        self.note_version(max(message.version, message.proposed))
+        self.observe_version(max(message.version, message.proposed))
         if message.version == self.version:
             self.is_current = self.is_current or message.version > 0
         elif message.version > self.version:
             if not self.prepare(message.digest, leader):
-                self.unfinished = UnfinishedAnnouncement(leader, message)
+                self.pending_announcement = PendingAnnouncement(leader, message)
                 return
             self.put_in_force(message.version, message.digest)
         if message.proposed > self.version:
@@ -195,23 +195,23 @@
             if self.prepare(message.proposed_digest, leader):
                 self.vote(leader, message)
             else:
-                self.unfinished = UnfinishedAnnouncement(leader, message)
+                self.pending_announcement = PendingAnnouncement(leader, message)
         elif message.term >= self.accepted.term and message.version >= self.version:
             self.drop_accepted()  # it is in force, or was abandoned
             self.reviews.forget_others(self.digest)
 
     def prepare(self, digest: int, source: int) -> bool:
         """Returns whether a text is here and judged; if not, it is fetched from the source or judged."""
-        return self.texts.fetch(digest, source) and self.reviews.is_reviewed(digest)
+        return self.texts.fetch(digest, source) and self.reviews.ensure_reviewed(digest)
 
-    def learn_at_start(self, member: int, message: messages.VersionAnnouncement) -> None:
+    def receive_startup_announcement(self, member: int, message: messages.VersionAnnouncement) -> None:
         """Takes an announcement after a restart, before this process follows a leader.
 
         What this process had accepted before its restart stays unknown.
         """
         if message.version <= self.version:
             return
-        confirmed = self.startup.is_confirmed(message.version, message.digest, member)
+        confirmed = self.startup.add_claim(message.version, message.digest, member)
         if confirmed and self.prepare(message.digest, member):
             self.put_in_force(message.version, message.digest)
             self.is_current = False
@@ -248,25 +248,25 @@
 
     # Changes of what this member holds.
 
-    def note_version(self, number: int) -> None:
+    def observe_version(self, version: int) -> None:
         """Raises the highest version seen."""
-        self.newest = max(self.newest, number)
+        self.highest_version = max(self.highest_version, version)
 
     def drop_accepted(self) -> None:
         """Forgets the accepted proposal."""
         self.accepted = NOTHING_ACCEPTED
 
-    def put_in_force(self, number: int, digest: int) -> None:
+    def put_in_force(self, version: int, digest: int) -> None:
         """Applies a version. Raises BrokenError if it is not newer than the one in force."""
-        if number <= self.version:
-            raise BrokenError(f"version {number} after {self.version}", f"fleet {self.identity.name}")
-        self.version = number
+        if version <= self.version:
+            raise BrokenError(f"version {version} after {self.version}", f"fleet {self.identity.name}")
+        self.version = version
         self.digest = digest
         self.is_current = True
-        self.note_version(number)
-        if self.accepted.version <= number:
+        self.observe_version(version)
+        if self.accepted.version <= version:
             self.drop_accepted()
-        self.callbacks.apply(number, digest)
-        self.log(f"version {number} is in force")
+        self.callbacks.apply(version, digest)
+        self.log(f"version {version} is in force")
         if self.publication is not None and self.publication.digest == digest:
             self.publication = None
--- a/brambleplank/fleet/versions/identity.py
+++ b/brambleplank/fleet/versions/identity.py
@@ -8,9 +8,9 @@
 from brambleplank.fleet import messages
 
 # Sends a message to a member by its number, or to all others.
-Send = Callable[[messages.Message, int | None], None]
+SendMessage = Callable[[messages.Message, int | None], None]
 # Prepares a text and judges it; calls back with the objection, "" for none, at once or later.
-Judge = Callable[[int, bytes, Callable[[str], None]], None]
+Reviewer = Callable[[int, bytes, Callable[[str], None]], None]
 
 
 @dataclass(frozen=True)
@@ -33,7 +33,7 @@
 class AgreementCallbacks:
     """What an agreement calls: `apply` with each version that comes into force here, and its digest."""
 
-    send: Send
-    judge: Judge
+    send: SendMessage
+    review: Reviewer
     apply: Callable[[int, int], None]
     log: Callable[[str], None]
--- a/brambleplank/fleet/versions/proposer.py
+++ b/brambleplank/fleet/versions/proposer.py
@@ -11,17 +11,18 @@
 from brambleplank.fleet.versions.reviews import TextReviews
 from brambleplank.fleet.versions.texts import TextStore
 
-RECOVERY_LIMIT = 3 * LEASE_DURATION  # seconds until a leader goes on though most of a majority has restarted
+# Seconds after which a leader proceeds with reports of any majority, although some of it has restarted.
+RECOVERY_TIMEOUT = 3 * LEASE_DURATION
 VOTE_WAIT = 2 * HEARTBEAT_INTERVAL  # seconds that a proposal waits for members that have not voted
 PROPOSAL_TIMEOUT = 5 * LEASE_DURATION  # seconds until a proposal without a majority is abandoned
-ANOTHER_PROPOSAL = "another text is being published; offer it again"
+OTHER_TEXT_PROPOSED = "another text is being published; offer it again"
 
 
 @dataclass
 class Proposal:
     """What this process proposes as the leader."""
 
-    number: int  # the version that it becomes
+    version: int  # the version that it becomes
     digest: int
     publisher: int | None  # the member that asked for it; None: it was recovered from members' reports
     since: float
@@ -48,17 +49,17 @@
         """The digest of its text."""
 
     @property
-    def newest(self) -> int:
+    def highest_version(self) -> int:
         """The highest version seen."""
 
     @property
     def file_digest(self) -> int | None:
         """The text of this process's file."""
 
-    def note_version(self, number: int) -> None:
+    def observe_version(self, version: int) -> None:
         """Raises the highest version seen."""
 
-    def put_in_force(self, number: int, digest: int) -> None:
+    def put_in_force(self, version: int, digest: int) -> None:
         """Applies a version."""
 
     def vote(self, leader: int, announcement: messages.VersionAnnouncement) -> None:
@@ -95,7 +96,7 @@
         self.reports: dict[int, messages.VersionReport] = {}  # by member, in this term
         self.recovered = False  # whether it knows what a majority holds
         self.proposal: Proposal | None = None
-        self.waiting: dict[int, PublicationRequest] = {}  # by member
+        self.queued_requests: dict[int, PublicationRequest] = {}  # by member
         self.announcements = 0  # sent by this process
         self.reached_at: dict[int, float] = {}  # by member
 
@@ -106,7 +107,7 @@
         self.recovered = False
         self.reports.clear()
         self.proposal = None
-        self.waiting.clear()
+        self.queued_requests.clear()
 
     def step_down(self) -> None:
         """Ends the term. The proposal, if there is one, is left to the next leader."""
@@ -146,13 +147,13 @@
         if request.digest == self.acceptor.digest:
             self.respond(member, request.digest, version, "")
         elif request.replaces != version:
-            self.respond(member, request.digest, 0, self.superseded())
+            self.respond(member, request.digest, 0, self.superseded_reason())
         elif self.proposal is not None and self.proposal.digest != request.digest:
-            self.respond(member, request.digest, 0, ANOTHER_PROPOSAL)
+            self.respond(member, request.digest, 0, OTHER_TEXT_PROPOSED)
         else:
-            self.waiting.setdefault(member, PublicationRequest(request.digest, request.replaces))
+            self.queued_requests.setdefault(member, PublicationRequest(request.digest, request.replaces))
 
-    def superseded(self) -> str:
+    def superseded_reason(self) -> str:
         """Returns the reason for refusing a text that replaces an older version."""
         return f"edition {self.acceptor.version} came first; offer it again"
 
@@ -175,7 +176,7 @@
         proposal = self.proposal
         if proposal is None:
             return
-        if (vote.term, vote.version, vote.digest) == (self.term, proposal.number, proposal.digest):
+        if (vote.term, vote.version, vote.digest) == (self.term, proposal.version, proposal.digest):
             proposal.votes[member] = "" if vote.accepts else vote.reason or "no reason given"
 
     # Steps of a term.
@@ -188,18 +189,18 @@
             self.recover(now)
         elif self.proposal is not None:
             self.decide(now, self.proposal)
-        elif self.waiting:
-            self.propose_waiting(now)
+        elif self.queued_requests:
+            self.propose_queued(now)
 
-    def propose_waiting(self, now: float) -> None:
+    def propose_queued(self, now: float) -> None:
         """Proposes the text that was queued first, once it is here."""
-        member, request = next(iter(self.waiting.items()))
+        member, request = next(iter(self.queued_requests.items()))
         if request.replaces != self.acceptor.version:
-            del self.waiting[member]
-            self.respond(member, request.digest, 0, self.superseded())
+            del self.queued_requests[member]
+            self.respond(member, request.digest, 0, self.superseded_reason())
         elif self.texts.fetch(request.digest, member):
-            del self.waiting[member]
-            self.propose(now, self.acceptor.newest + 1, request.digest, member)
+            del self.queued_requests[member]
+            self.propose(now, self.acceptor.highest_version + 1, request.digest, member)
 
     def recover(self, now: float) -> None:
         """Learns what a majority holds; without it, a version in force somewhere could be replaced."""
@@ -210,22 +211,22 @@
         newest = max(current.items(), key=lambda item: item[1].version, default=None)
         if newest is not None and newest[1].version > acceptor.version:
             member, report = newest
-            if self.texts.fetch(report.digest, member) and self.reviews.is_reviewed(report.digest):
+            if self.texts.fetch(report.digest, member) and self.reviews.ensure_reviewed(report.digest):
                 acceptor.put_in_force(report.version, report.digest)
             return
         accepted = [
             (report.accepted_term, report.accepted, report.accepted_digest, member)
             for member, report in self.reports.items()
         ]
-        _, number, digest, member = max(accepted)
-        if number > acceptor.version:
+        _, version, digest, member = max(accepted)
+        if version > acceptor.version:
             if self.texts.fetch(digest, member):
                 self.recovered = True
-                self.propose(now, number, digest, None)
+                self.propose(now, version, digest, None)
             return
         self.recovered = True
         if not acceptor.version and acceptor.file_digest is not None:
-            self.propose(now, acceptor.newest + 1, acceptor.file_digest, self.identity.number)
+            self.propose(now, acceptor.highest_version + 1, acceptor.file_digest, self.identity.number)
 
     def majority_reported(self, now: float) -> bool:
         """Returns whether a majority has said what it holds, or the wait for restarted members is over."""
@@ -234,16 +235,16 @@
         current = sum(report.is_current for report in self.reports.values())
         if current >= majority or len(self.reports) == self.identity.members:
             return True
-        return len(self.reports) >= majority and now >= self.leader_since + RECOVERY_LIMIT
+        return len(self.reports) >= majority and now >= self.leader_since + RECOVERY_TIMEOUT
 
-    def propose(self, now: float, number: int, digest: int, publisher: int | None) -> None:
+    def propose(self, now: float, version: int, digest: int, publisher: int | None) -> None:
         """Proposes a text under a version."""
         if not self.acceptor.version and publisher is not None:
             # After a restart of all members, numbers that begin at one would look older to a member that was
             # unreachable meanwhile.
-            number = max(number, self.identity.incarnation)
-        self.acceptor.note_version(number)
-        self.proposal = Proposal(number, digest, publisher, now)
+            version = max(version, self.identity.incarnation)
+        self.acceptor.observe_version(version)
+        self.proposal = Proposal(version, digest, publisher, now)
         self.announce()
 
     def announce(self) -> None:
@@ -257,13 +258,13 @@
             term=self.term,
             version=self.acceptor.version,
             digest=self.acceptor.digest,
-            proposed=proposal.number if proposal else 0,
+            proposed=proposal.version if proposal else 0,
             proposed_digest=proposal.digest if proposal else 0,
         )
         self.callbacks.send(announcement, None)
         if proposal is None or proposal.digest not in self.texts:
             return
-        if self.reviews.is_reviewed(proposal.digest):
+        if self.reviews.ensure_reviewed(proposal.digest):
             self.acceptor.vote(self.identity.number, announcement)
 
     def decide(self, now: float, proposal: Proposal) -> None:
@@ -278,7 +279,7 @@
             member, reason = next(iter(objections.items()))
             self.abandon(proposal, f"{member} objects: {reason}")
         elif accepted >= majority and not waiting:
-            self.conclude(proposal)
+            self.commit(proposal)
         elif now >= proposal.since + PROPOSAL_TIMEOUT:
             needed = f"{accepted} of {self.identity.members} agreed, {majority} are needed"
             self.abandon(proposal, needed)
@@ -295,19 +296,19 @@
         identity = self.identity
         return self.one_objection_rejects or len(objections) > identity.members - identity.majority
 
-    def conclude(self, proposal: Proposal) -> None:
+    def commit(self, proposal: Proposal) -> None:
         """Puts an accepted proposal in force."""
         self.proposal = None
-        self.acceptor.put_in_force(proposal.number, proposal.digest)
+        self.acceptor.put_in_force(proposal.version, proposal.digest)
         if proposal.publisher is not None:
-            self.respond(proposal.publisher, proposal.digest, proposal.number, "")
+            self.respond(proposal.publisher, proposal.digest, proposal.version, "")
         self.announce()
 
     def abandon(self, proposal: Proposal, reason: str) -> None:
         """Gives a proposal up."""
         self.proposal = None
         self.acceptor.drop_accepted()
-        self.callbacks.log(f"{self.identity.name}: version {proposal.number} is not published: {reason}")
+        self.callbacks.log(f"{self.identity.name}: version {proposal.version} is not published: {reason}")
         if proposal.publisher is not None:
             self.respond(proposal.publisher, proposal.digest, 0, reason)
         self.announce()
--- a/brambleplank/fleet/versions/reviews.py
+++ b/brambleplank/fleet/versions/reviews.py
@@ -4,19 +4,19 @@
 
 from collections.abc import Callable
 
-from brambleplank.fleet.versions.identity import Judge
+from brambleplank.fleet.versions.identity import Reviewer
 
 
 class TextReviews:
     """Has each text judged once, and remembers the objection until it is forgotten."""
 
-    def __init__(self, judge: Judge, text: Callable[[int], bytes]) -> None:
-        self.judge = judge
+    def __init__(self, review: Reviewer, text: Callable[[int], bytes]) -> None:
+        self.review = review
         self.text = text
         self.objections: dict[int, str] = {}  # by digest; "": none
         self.in_progress: set[int] = set()
 
-    def is_reviewed(self, digest: int) -> bool:
+    def ensure_reviewed(self, digest: int) -> bool:
         """Returns whether a text that is here was prepared and judged; if not, that begins."""
         if digest not in self.objections and digest not in self.in_progress:
             self.in_progress.add(digest)
@@ -25,7 +25,7 @@
                 self.in_progress.discard(digest)
                 self.objections[digest] = objection
 
-            self.judge(digest, self.text(digest), reviewed)
+            self.review(digest, self.text(digest), reviewed)
         return digest in self.objections
 
     def objection(self, digest: int) -> str:
--- a/brambleplank/fleet/versions/startup.py
+++ b/brambleplank/fleet/versions/startup.py
@@ -6,10 +6,10 @@
 
 from brambleplank.fleet.versions.identity import AgreementIdentity
 
-MEMBERS_ASKED = 3  # other members that a restarted process reports to at once
-REPORTS = 10  # rounds of reports that it sends to them
-CLAIMS_KEPT = 12  # versions that members call in force
-CLAIMANTS_NEEDED = 2  # members that must agree on one
+MEMBERS_PER_ROUND = 3  # other members that a restarted process reports to at once
+REPORT_ROUNDS = 10  # rounds of reports that it sends to them
+MAX_CLAIMS = 12  # versions that members call in force
+MIN_CLAIMANTS = 2  # members that must agree on one
 
 
 class StartupDiscovery:
@@ -18,28 +18,28 @@
     def __init__(self, identity: AgreementIdentity, rng: Random) -> None:
         self.identity = identity
         self.rng = rng
-        self.rounds_left = REPORTS
+        self.rounds_left = REPORT_ROUNDS
         # Versions with their digests that members called in force, and by whom.
         self.claims: dict[tuple[int, int], set[int]] = {}
 
-    def members_to_ask(self, leader: int | None) -> list[int]:
+    def members_to_query(self, leader: int | None) -> list[int]:
         """Returns the members beside the leader to report to in this round; none once all rounds are over."""
         if not self.rounds_left:
             return []
         self.rounds_left -= 1
         others = [n for n in range(self.identity.members) if n not in (self.identity.number, leader)]
-        return self.rng.sample(others, min(MEMBERS_ASKED, len(others)))
+        return self.rng.sample(others, min(MEMBERS_PER_ROUND, len(others)))
 
-    def is_confirmed(self, version: int, digest: int, member: int) -> bool:
+    def add_claim(self, version: int, digest: int, member: int) -> bool:
         """Notes that a member calls a version in force, and returns whether enough members do.
 
         A single faulty one could otherwise give this process any text under the highest number.
         """
-        if len(self.claims) > CLAIMS_KEPT:
+        if len(self.claims) > MAX_CLAIMS:
             return False
         claimants = self.claims.setdefault((version, digest), set())
         claimants.add(member)
-        return len(claimants) >= min(CLAIMANTS_NEEDED, self.identity.members - 1)
+        return len(claimants) >= min(MIN_CLAIMANTS, self.identity.members - 1)
 
     def forget_claims(self) -> None:
         """Forgets what members called in force."""
--- a/brambleplank/fleet/versions/texts.py
+++ b/brambleplank/fleet/versions/texts.py
@@ -9,12 +9,12 @@
 
 from brambleplank.fleet import messages
 from brambleplank.fleet.leases.timing import HEARTBEAT_INTERVAL
-from brambleplank.fleet.versions.identity import AgreementIdentity, Send
+from brambleplank.fleet.versions.identity import AgreementIdentity, SendMessage
 
-MAX_TEXT = 1024 * 1024  # bytes of a text
+MAX_TEXT_SIZE = 1024 * 1024  # bytes of a text
 CHUNKS_PER_REQUEST = 24  # sent for one request
 CHUNK_RETRY = HEARTBEAT_INTERVAL / 4  # seconds until a chunk is requested again
-TEXTS_KEPT = 4
+MAX_STORED_TEXTS = 4
 DIGEST_SIZE = 6  # bytes
 COMPRESSION_LEVEL = 9
 
@@ -46,7 +46,7 @@
     """
 
     def __init__(
-        self, identity: AgreementIdentity, send: Send, in_use: Callable[[], set[int | None]]
+        self, identity: AgreementIdentity, send: SendMessage, in_use: Callable[[], set[int | None]]
     ) -> None:
         self.identity = identity
         self.send = send
@@ -58,7 +58,7 @@
         """Whether the text is here."""
         return digest in self.compressed
 
-    def keep(self, text: bytes) -> int:
+    def store(self, text: bytes) -> int:
         """Stores a text and returns its digest.
 
         Old unused ones are dropped, or texts that are published would fill the memory.
@@ -68,7 +68,7 @@
         self.compressed[digest] = zlib.compress(text, COMPRESSION_LEVEL)
         used = {*self.in_use(), digest}
         idle = [old for old in self.compressed if old not in used]
-        for old in idle[: max(0, len(self.compressed) - TEXTS_KEPT)]:
+        for old in idle[: max(0, len(self.compressed) - MAX_STORED_TEXTS)]:
             del self.compressed[old]
         return digest
 
@@ -113,7 +113,7 @@
         download = self.download
         if download is None or chunk.digest != download.digest:
             return
-        if chunk.total * messages.CHUNK_SIZE > MAX_TEXT:
+        if chunk.total * messages.CHUNK_SIZE > MAX_TEXT_SIZE:
             return
         download.total = chunk.total
         if chunk.index < chunk.total:
@@ -130,8 +130,8 @@
         try:
             data = b"".join(download.chunks[n] for n in range(download.total))
             # Without the limit, a small text could be one that decompresses to any size.
-            text = zlib.decompressobj().decompress(data, MAX_TEXT)
+            text = zlib.decompressobj().decompress(data, MAX_TEXT_SIZE)
         except (zlib.error, KeyError):
             return
         if digest_of(text) == download.digest:
-            self.keep(text)
+            self.store(text)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -176,7 +176,7 @@
         fleet = node.fleet
         assert fleet is not None
 
-        def judge(digest: int, text: bytes, done: Callable[[str], None]) -> None:
+        def review(digest: int, text: bytes, done: Callable[[str], None]) -> None:
             done("I object" if b"not %d" % node.number in text else "")
 
         def take_up(number: int, digest: int) -> None:
@@ -186,11 +186,11 @@
 
         made = VersionAgreement(
             fleet.agreement_identity(0, "routes"),
-            AgreementCallbacks(fleet.send, judge, take_up, node.log_lines.append),
+            AgreementCallbacks(fleet.send, review, take_up, node.log_lines.append),
             fleet.rng,
         )
         fleet.agreements.add(made)
-        made.begin_with(self.files(node.number))
+        made.set_initial_text(self.files(node.number))
 
     def agreement(self, n: int) -> VersionAgreement:
         fleet = self.nodes[n].fleet
@@ -284,7 +284,7 @@
         simulation.run(0.1)
         fleet = simulation.nodes[4].fleet
         assert fleet is not None
-        fleet.agreements.by_kind[0].texts.keep(b"lie")
+        fleet.agreements.by_kind[0].texts.store(b"lie")
         fleet.receive_datagram(simulation.clock(simulation.nodes[4]), 3, messages.encode(lie))
     simulation.run(10)
     assert simulation.digests() == {digest_of(b"file")}
