--- a/brambleplank/fleet/versions/__init__.py
+++ b/brambleplank/fleet/versions/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement of the fleet on texts in numbered versions."""
+"""Fleet-wide agreement on texts in numbered versions."""
--- a/brambleplank/fleet/versions/agreement.py
+++ b/brambleplank/fleet/versions/agreement.py
@@ -1,11 +1,14 @@
-"""Agreement of the whole fleet on texts, in numbered versions that never go back.
-
-The leader proposes one text at a time. Each member judges it by what it knows itself and accepts it, or says
-why not; what it has accepted it keeps. Accepted by a majority, with no objection, the version is in force. A
-new leader asks a majority first: what one of them accepted in the newest term may be in force somewhere, so
-it is proposed again before anything else. (Single-value agreement as in Paxos; the leases of the election
-settle who proposes.) What a member knows is lost with its process. If a majority restarts at once, the fleet
-goes on with what the others have, or with the leader's file.
+"""Fleet-wide agreement on texts in numbered versions, which only increase.
+
+The leader proposes one text at a time. Each member reviews the text against its own state, and either accepts
+it or votes against it with a reason; it remembers the proposal that it accepted. Once a majority has accepted
+a version and no objection rejects it, the version is in force. A new leader first collects the reports of a
+majority: the proposal that one of them accepted in the newest term may already be in force at some member, so
+the leader proposes it again before anything else. This is single-decree Paxos; the leases of the election
+determine the proposer.
+
+A member's state is lost with its process. If a majority restarts at once, the fleet continues with the state
+of the other members, or with the leader's file.
 """
 
 from __future__ import annotations
@@ -24,7 +27,7 @@
 
 @dataclass(frozen=True)
 class AcceptedProposal:
-    """A proposal that this process accepted and that is not in force yet; version 0: there is none."""
+    """A proposal that this member accepted and that is not in force yet; version 0: none."""
 
     version: int = 0
     term: int = 0
@@ -36,21 +39,21 @@
 
 @dataclass(frozen=True)
 class AnnouncementId:
-    """Orders the announcements of one leader."""
+    """Identifies an announcement, and orders those of one leader process."""
 
     sender: int = 0
     incarnation: int = 0
     sequence: int = 0
 
     def supersedes(self, other: AnnouncementId) -> bool:
-        """Returns whether this one is of another leader, or later than the other."""
+        """Returns whether this announcement is newer than the other, or from another leader process."""
         same_sender = (self.sender, self.incarnation) == (other.sender, other.incarnation)
         return not same_sender or self.sequence > other.sequence
 
 
 @dataclass(frozen=True)
 class PendingAnnouncement:
-    """An announcement whose texts are still being fetched or judged."""
+    """An announcement whose texts are still being downloaded or reviewed."""
 
     leader: int
     message: messages.VersionAnnouncement
@@ -66,49 +69,49 @@
         rng: Random,
         one_objection_rejects: bool = True,
     ) -> None:
-        """With `one_objection_rejects` false, a text is rejected only if it cannot get a majority."""
+        """If `one_objection_rejects` is false, a text is rejected once no majority can accept it any more."""
         self.identity = identity
         self.callbacks = callbacks
         self.texts = TextStore(identity, callbacks.send, self.digests_in_use)
         self.reviews = TextReviews(callbacks.review, self.texts.text)
         self.proposer = Proposer(identity, callbacks, self, self.texts, self.reviews, one_objection_rejects)
         self.startup = StartupDiscovery(identity, rng)
-        self.version = 0  # in force here; 0: none was agreed on yet
-        self.digest = 0  # of its text
-        self.is_current = False  # whether it has learnt since its start which version is in force
-        self.highest_version = 0  # the highest version seen
+        self.version = 0  # in force at this member; 0: none yet
+        self.digest = 0  # of the text in force
+        self.is_current = False  # whether it has learned, since its start, which version is in force
+        self.highest_version = 0  # in force or proposed, in any announcement so far
         self.accepted = NOTHING_ACCEPTED
-        self.file_digest: int | None = None  # the file, used until a version is in force
-        self.publication: PublicationRequest | None = None  # asked for by this process, not decided yet
+        self.file_digest: int | None = None  # of this process's file, used until a version is in force
+        self.publication: PublicationRequest | None = None  # requested by this process, not decided yet
         self.newest_announcement = AnnouncementId()
         self.pending_announcement: PendingAnnouncement | None = None
 
     def digests_in_use(self) -> set[int | None]:
-        """Returns the texts that must be kept."""
+        """Returns the digests of the texts that must stay stored."""
         publishing = self.publication.digest if self.publication else None
         used = {self.digest, self.accepted.digest, publishing, self.file_digest}
         if self.proposer.proposal is not None:
             used.add(self.proposer.proposal.digest)
         return used
 
-    # Calls of this process.
+    # Called by this process.
 
     def set_initial_text(self, text: bytes) -> None:
-        """Takes the file, used until the fleet says which version is in force."""
+        """Stores the text of this process's file, which is used until a version is in force."""
         self.file_digest = self.texts.store(text)
 
     def publish(self, text: bytes, leader: int | None) -> None:
-        """Asks the leader to publish an operator's text, now and with each report until it is decided."""
+        """Requests publication of an operator's text; the request is repeated until the leader decides."""
         if digest_of(text) == self.digest:
-            self.log(f"version {self.version} is that text already")
+            self.log(f"not published: version {self.version}, which is in force, has the same text")
             return
-        # Without the version that it replaces, a request from before a partition could replace a version
-        # that was published during it.
+        # The request names the version that it replaces. Otherwise a request from before a partition could
+        # replace a version that was published during it.
         self.publication = PublicationRequest(self.texts.store(text), replaces=self.version)
         self.send_publish_request(leader)
 
     def tick(self, now: float, leader: int | None) -> None:
-        """Called about every tenth of a second."""
+        """Continues downloads, the pending announcement and the leader's work, about ten times a second."""
         self.texts.request_chunks(now)
         pending = self.pending_announcement
         if pending is not None:
@@ -119,7 +122,7 @@
         self.proposer.tick(now)
 
     def report(self, now: float, leader: int | None) -> None:
-        """Sends this member's report to the leader, and as the leader the announcement to all."""
+        """Sends this member's report to the leader; the leader sends its announcement to all members."""
         report = self.version_report()
         if not self.version:
             for member in self.startup.members_to_query(leader):
@@ -132,11 +135,12 @@
             self.callbacks.send(report, leader)
         self.send_publish_request(leader)
         if self.proposer.leader_since is not None and self.proposer.recovered:
-            # Announced before recovery, it would make members drop what they accepted, which may be in force.
+            # Before recovery, an announcement would make members drop the proposal that they accepted,
+            # although it may be in force elsewhere.
             self.proposer.announce()
 
     def version_report(self) -> messages.VersionReport:
-        """Returns what this member holds."""
+        """Returns this member's report: the version in force, and the accepted proposal."""
         return messages.VersionReport(
             incarnation=self.identity.incarnation,
             kind=self.identity.kind,
@@ -164,22 +168,22 @@
             self.callbacks.send(request, leader)
 
     def log(self, line: str) -> None:
-        """Logs a line under the name of the agreement."""
+        """Logs a line, prefixed with the name of the agreement."""
         self.callbacks.log(f"{self.identity.name}: {line}")
 
     # Messages received.
 
     def receive_announcement(self, leader: int, message: messages.VersionAnnouncement) -> None:
-        """Takes the leader's announcement of what is in force and proposed."""
+        """Handles the leader's announcement of the versions in force and proposed."""
         announcement = AnnouncementId(leader, message.incarnation, message.sequence)
         if not announcement.supersedes(self.newest_announcement):
-            return  # A late one without a proposal would undo what was accepted since.
+            return  # A delayed announcement without a proposal would drop a proposal accepted since.
         self.newest_announcement = announcement
         self.pending_announcement = None
         self.apply_announcement(leader, message)
 
     def apply_announcement(self, leader: int, message: messages.VersionAnnouncement) -> None:
-        """Applies what is in force, then votes on what is proposed, as far as the texts are here."""
+        """Puts the announced version in force, then votes on the proposal, once their texts are reviewed."""
         self.observe_version(max(message.version, message.proposed))
         if message.version == self.version:
             self.is_current = self.is_current or message.version > 0
@@ -189,7 +193,7 @@
                 return
             self.put_in_force(message.version, message.digest)
         if message.proposed > self.version:
-            # The text in force comes first; a proposal waits for it.
+            # The leader's version is older than the one in force here: no vote until it has caught up.
             if self.version != message.version:
                 return
             if self.prepare(message.proposed_digest, leader):
@@ -197,17 +201,18 @@
             else:
                 self.pending_announcement = PendingAnnouncement(leader, message)
         elif message.term >= self.accepted.term and message.version >= self.version:
-            self.drop_accepted()  # it is in force, or was abandoned
+            self.drop_accepted()  # the proposal is in force, or was abandoned
             self.reviews.forget_others(self.digest)
 
     def prepare(self, digest: int, source: int) -> bool:
-        """Returns whether a text is here and judged; if not, it is fetched from the source or judged."""
+        """Returns whether a text is stored and reviewed; if not, starts its download or its review."""
         return self.texts.fetch(digest, source) and self.reviews.ensure_reviewed(digest)
 
     def receive_startup_announcement(self, member: int, message: messages.VersionAnnouncement) -> None:
-        """Takes an announcement after a restart, before this process follows a leader.
+        """Handles an announcement received after a restart, before this process follows a leader.
 
-        What this process had accepted before its restart stays unknown.
+        The process does not count as current afterwards: the proposal that it accepted before its restart
+        is lost.
         """
         if message.version <= self.version:
             return
@@ -218,11 +223,11 @@
             self.startup.forget_claims()
 
     def vote(self, leader: int, announcement: messages.VersionAnnouncement) -> None:
-        """Votes on the proposal of an announcement, whose text was judged."""
+        """Votes on the proposal of an announcement, whose text has been reviewed."""
         objection = self.reviews.objection(announcement.proposed_digest)
         if not objection:
             if announcement.term < self.accepted.term:
-                return  # Accepting it would forget what was accepted from a leader of a newer term.
+                return  # Accepting it would replace a proposal accepted from a leader of a newer term.
             self.accepted = AcceptedProposal(
                 announcement.proposed, announcement.term, announcement.proposed_digest
             )
@@ -241,23 +246,23 @@
             self.callbacks.send(vote, leader)
 
     def receive_publish_response(self, response: messages.PublishResponse) -> None:
-        """Takes the outcome of the pending publish request; a refusal ends it."""
+        """Handles the response to the pending publish request; a refusal ends the request."""
         if self.publication is not None and response.digest == self.publication.digest and response.reason:
             self.log(f"not published: {response.reason}")
             self.publication = None
 
-    # Changes of what this member holds.
+    # State changes.
 
     def observe_version(self, version: int) -> None:
-        """Raises the highest version seen."""
+        """Updates the highest version seen."""
         self.highest_version = max(self.highest_version, version)
 
     def drop_accepted(self) -> None:
-        """Forgets the accepted proposal."""
+        """Discards the accepted proposal."""
         self.accepted = NOTHING_ACCEPTED
 
     def put_in_force(self, version: int, digest: int) -> None:
-        """Applies a version. Raises BrokenError if it is not newer than the one in force."""
+        """Puts a version in force. Raises BrokenError if it is not newer than the one in force."""
         if version <= self.version:
             raise BrokenError(f"version {version} after {self.version}", f"fleet {self.identity.name}")
         self.version = version
--- a/brambleplank/fleet/versions/agreements.py
+++ b/brambleplank/fleet/versions/agreements.py
@@ -1,4 +1,4 @@
-"""The agreements of one process, by their kinds of text."""
+"""The version agreements of one process, one for each kind of text."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Agreements:
-    """Hands messages and changes of leadership to each agreement."""
+    """Passes messages and changes of leadership to the agreements."""
 
     def __init__(self, election: LeaderElection) -> None:
         self.election = election
@@ -30,36 +30,36 @@
         self.by_kind[agreement.identity.kind] = agreement
 
     def for_each(self, call: Callable[[VersionAgreement], object]) -> None:
-        """Calls with each agreement."""
+        """Calls a function with each agreement."""
         for agreement in self.by_kind.values():
             call(agreement)
 
     def tick(self, now: float) -> None:
-        """Called about every tenth of a second."""
+        """Continues the work of each agreement, about ten times a second."""
         self.for_each(lambda agreement: agreement.tick(now, self.election.leader))
 
     def report(self, now: float, leader: int | None) -> None:
-        """Reports to the leader, or as the leader to all."""
+        """Sends the reports to the leader; the leader sends its announcements to all members."""
         self.for_each(lambda agreement: agreement.report(now, leader))
 
     def become_leader(self, now: float, term: int) -> None:
-        """Begins a term."""
+        """Starts a term of this process as the leader."""
         self.for_each(lambda agreement: agreement.proposer.become_leader(now, term))
 
     def step_down(self) -> None:
-        """Ends the term."""
+        """Ends the term of this process as the leader."""
         self.for_each(lambda agreement: agreement.proposer.step_down())
 
     def note_reachable(self, now: float, sender: int) -> None:
-        """Notes that a member is reachable."""
+        """Records that a member is reachable now."""
         self.for_each(lambda agreement: agreement.proposer.note_reachable(now, sender))
 
     def versions(self) -> dict[str, int]:
-        """Returns the versions in force here, by name."""
+        """Returns the versions in force at this member, by the name of their agreement."""
         return {f"version of {each.identity.name}": each.version for each in self.by_kind.values()}
 
     def receive(self, now: float, sender: int, message: AgreementMessage) -> None:
-        """Takes a message about chunks of texts, which agreements share, or about one kind of text."""
+        """Handles a message; those about chunks name no kind of text and go to all agreements."""
         match message:
             case messages.ChunkRequest():
                 self.for_each(lambda agreement: agreement.texts.send_chunks(sender, message))
@@ -77,7 +77,10 @@
         message: VersionMessage,
         agreement: VersionAgreement,
     ) -> None:
-        """Hands a message to its agreement; what only a leader may say, if it is from the one followed."""
+        """Passes a message to its agreement; publish responses only from the leader that is followed.
+
+        Announcements of other members serve a process that does not know yet which version is in force.
+        """
         followed = self.election.followed
         is_followed = followed.is_start(sender, message.incarnation)
         match message:
--- a/brambleplank/fleet/versions/identity.py
+++ b/brambleplank/fleet/versions/identity.py
@@ -1,4 +1,4 @@
-"""Who takes part in an agreement on versions, and through which calls it reaches the process around it."""
+"""Identity of an agreement at one member, and the callbacks through which it reaches the process."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 
 from brambleplank.fleet import messages
 
-# Sends a message to a member by its number, or to all others.
+# Sends a message to the member with this number, or to all others (None).
 SendMessage = Callable[[messages.Message, int | None], None]
-# Prepares a text and judges it; calls back with the objection, "" for none, at once or later.
+# Prepares and reviews the text with this digest; calls back, at once or later, with the objection, or "".
 Reviewer = Callable[[int, bytes, Callable[[str], None]], None]
 
 
 @dataclass(frozen=True)
 class AgreementIdentity:
-    """Names one agreement, and this process's place in it."""
+    """Identifies an agreement, and this member in it."""
 
-    kind: int  # of text, in messages
+    kind: int  # of text, as in messages
     name: str  # in log lines
     number: int  # of this member
-    members: int
+    members: int  # of the fleet
     incarnation: int
 
     @property
     def majority(self) -> int:
-        """How many members are more than half of them."""
+        """The smallest number of members that is a majority."""
         return self.members // 2 + 1
 
 
 @dataclass(frozen=True)
 class AgreementCallbacks:
-    """What an agreement calls: `apply` with each version that comes into force here, and its digest."""
+    """Callbacks of an agreement; `apply` gets each version put in force at this member, and its digest."""
 
     send: SendMessage
     review: Reviewer
--- a/brambleplank/fleet/versions/proposer.py
+++ b/brambleplank/fleet/versions/proposer.py
@@ -1,4 +1,4 @@
-"""The leader's part in an agreement: it learns what a majority holds, then proposes one text at a time."""
+"""The leader's part in an agreement: recovers the state of a majority, then proposes one text at a time."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 from brambleplank.fleet.versions.reviews import TextReviews
 from brambleplank.fleet.versions.texts import TextStore
 
-# Seconds after which a leader proceeds with reports of any majority, although some of it has restarted.
+# Seconds after which a leader recovers from the reports of a majority even if restarted members are in it.
 RECOVERY_TIMEOUT = 3 * LEASE_DURATION
-VOTE_WAIT = 2 * HEARTBEAT_INTERVAL  # seconds that a proposal waits for members that have not voted
+VOTE_WAIT = 2 * HEARTBEAT_INTERVAL  # seconds that a proposal waits for the votes of all reachable members
 PROPOSAL_TIMEOUT = 5 * LEASE_DURATION  # seconds until a proposal without a majority is abandoned
 OTHER_TEXT_PROPOSED = "another text is being published; offer it again"
 
 
 @dataclass
 class Proposal:
-    """What this process proposes as the leader."""
+    """The current proposal of this process as the leader."""
 
-    version: int  # the version that it becomes
+    version: int
     digest: int
-    publisher: int | None  # the member that asked for it; None: it was recovered from members' reports
-    since: float
+    publisher: int | None  # the member that requested it; None: recovered from the members' reports
+    since: float  # when it was first announced
     votes: dict[int, str] = field(default_factory=dict)  # objections by member; "": accepted
 
 
 @dataclass(frozen=True)
 class PublicationRequest:
-    """A text that a member asks to publish, and the version that it replaces."""
+    """A member's request to publish a text, and the version that the text replaces."""
 
     digest: int
     replaces: int
 
 
 class Acceptor(Protocol):
-    """This process's own part as a member, as far as the leader's part needs it."""
+    """The member's part in the same process, as far as the proposer needs it."""
 
     @property
     def version(self) -> int:
-        """The version in force here; 0: none."""
+        """The version in force at this member; 0: none."""
 
     @property
     def digest(self) -> int:
-        """The digest of its text."""
+        """The digest of the text in force."""
 
     @property
     def highest_version(self) -> int:
@@ -54,26 +54,26 @@
 
     @property
     def file_digest(self) -> int | None:
-        """The text of this process's file."""
+        """The digest of this process's file."""
 
     def observe_version(self, version: int) -> None:
-        """Raises the highest version seen."""
+        """Updates the highest version seen."""
 
     def put_in_force(self, version: int, digest: int) -> None:
-        """Applies a version."""
+        """Puts a version in force."""
 
     def vote(self, leader: int, announcement: messages.VersionAnnouncement) -> None:
         """Votes on the proposal of an announcement."""
 
     def drop_accepted(self) -> None:
-        """Forgets the accepted proposal."""
+        """Discards the accepted proposal."""
 
     def receive_publish_response(self, response: messages.PublishResponse) -> None:
-        """Takes the outcome of a publish request."""
+        """Handles the response to a publish request."""
 
 
 class Proposer:
-    """The leader's part; idle in a process that does not lead."""
+    """The leader's part in an agreement; idle while this process does not lead."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         reviews: TextReviews,
         one_objection_rejects: bool,
     ) -> None:
-        """With `one_objection_rejects` false, a text is rejected only if it cannot get a majority."""
+        """If `one_objection_rejects` is false, a text is rejected once no majority can accept it any more."""
         self.identity = identity
         self.callbacks = callbacks
         self.acceptor = acceptor
@@ -94,14 +94,14 @@
         self.leader_since: float | None = None  # None: this process does not lead
         self.term = 0
         self.reports: dict[int, messages.VersionReport] = {}  # by member, in this term
-        self.recovered = False  # whether it knows what a majority holds
+        self.recovered = False  # whether the state of a majority is known
         self.proposal: Proposal | None = None
         self.queued_requests: dict[int, PublicationRequest] = {}  # by member
-        self.announcements = 0  # sent by this process
-        self.reached_at: dict[int, float] = {}  # by member
+        self.announcements = 0  # sent by this process; the sequence of the newest one
+        self.reached_at: dict[int, float] = {}  # by member: when it was last known to be reachable
 
     def become_leader(self, now: float, term: int) -> None:
-        """Begins a term. What members hold is not known yet."""
+        """Starts a term; the state of the members is not known yet."""
         self.leader_since = now
         self.term = term
         self.recovered = False
@@ -110,18 +110,21 @@
         self.queued_requests.clear()
 
     def step_down(self) -> None:
-        """Ends the term. The proposal, if there is one, is left to the next leader."""
+        """Ends the term; an undecided proposal is left to the next leader."""
         self.leader_since = None
         self.proposal = None
 
     # Messages received.
 
     def note_reachable(self, now: float, member: int) -> None:
-        """Notes that a member is reachable."""
+        """Records that a member is reachable now."""
         self.reached_at[member] = now
 
     def receive_report(self, now: float, member: int, report: messages.VersionReport) -> None:
-        """Takes what a member holds. One that has no version yet is told which is in force here."""
+        """Records a member's report. A member without a version is sent the announcement of the one in force.
+
+        The process does this as well while it is not the leader.
+        """
         if self.leader_since is not None:
             self.reports[member] = report
             self.reached_at[member] = now
@@ -140,7 +143,7 @@
             self.callbacks.send(announcement, member)
 
     def receive_publish_request(self, member: int, request: messages.PublishRequest) -> None:
-        """Queues a text that a member asks to publish, or refuses it."""
+        """Queues a member's request to publish a text, or responds at once if there is nothing to propose."""
         if self.leader_since is None:
             return
         version = self.acceptor.version
@@ -154,11 +157,11 @@
             self.queued_requests.setdefault(member, PublicationRequest(request.digest, request.replaces))
 
     def superseded_reason(self) -> str:
-        """Returns the reason for refusing a text that replaces an older version."""
+        """Returns the reason for refusing a text that replaces a version no longer in force."""
         return f"edition {self.acceptor.version} came first; offer it again"
 
     def respond(self, member: int, digest: int, version: int, reason: str) -> None:
-        """Tells a member what became of its publish request; version 0: it was refused."""
+        """Sends a member the outcome of its publish request; version 0: refused."""
         response = messages.PublishResponse(
             incarnation=self.identity.incarnation,
             kind=self.identity.kind,
@@ -172,17 +175,17 @@
             self.callbacks.send(response, member)
 
     def receive_vote(self, member: int, vote: messages.Vote) -> None:
-        """Counts a vote, if it is on the current proposal."""
+        """Records a vote, if it is on the current proposal."""
         proposal = self.proposal
         if proposal is None:
             return
         if (vote.term, vote.version, vote.digest) == (self.term, proposal.version, proposal.digest):
             proposal.votes[member] = "" if vote.accepts else vote.reason or "no reason given"
 
-    # Steps of a term.
+    # The leader's work.
 
     def tick(self, now: float) -> None:
-        """Takes the next step of the term, if this process leads."""
+        """Continues recovery, the current proposal or the queue of requests, if this process leads."""
         if self.leader_since is None:
             return
         if not self.recovered:
@@ -193,7 +196,7 @@
             self.propose_queued(now)
 
     def propose_queued(self, now: float) -> None:
-        """Proposes the text that was queued first, once it is here."""
+        """Proposes the text of the oldest queued request, once it is stored here."""
         member, request = next(iter(self.queued_requests.items()))
         if request.replaces != self.acceptor.version:
             del self.queued_requests[member]
@@ -203,7 +206,7 @@
             self.propose(now, self.acceptor.highest_version + 1, request.digest, member)
 
     def recover(self, now: float) -> None:
-        """Learns what a majority holds; without it, a version in force somewhere could be replaced."""
+        """Recovers the state of a majority; without it, a version in force elsewhere could be replaced."""
         if not self.majority_reported(now):
             return
         acceptor = self.acceptor
@@ -229,7 +232,11 @@
             self.propose(now, acceptor.highest_version + 1, acceptor.file_digest, self.identity.number)
 
     def majority_reported(self, now: float) -> bool:
-        """Returns whether a majority has said what it holds, or the wait for restarted members is over."""
+        """Returns whether the reports suffice for recovery.
+
+        Those of members that restarted and do not know the version in force suffice once the wait is over, or
+        all members have reported.
+        """
         assert self.leader_since is not None
         majority = self.identity.majority
         current = sum(report.is_current for report in self.reports.values())
@@ -238,17 +245,17 @@
         return len(self.reports) >= majority and now >= self.leader_since + RECOVERY_TIMEOUT
 
     def propose(self, now: float, version: int, digest: int, publisher: int | None) -> None:
-        """Proposes a text under a version."""
+        """Proposes a text as a version."""
         if not self.acceptor.version and publisher is not None:
-            # After a restart of all members, numbers that begin at one would look older to a member that was
-            # unreachable meanwhile.
+            # After a restart of all members, versions counted from 1 would be older than that of a member
+            # that was unreachable meanwhile.
             version = max(version, self.identity.incarnation)
         self.acceptor.observe_version(version)
         self.proposal = Proposal(version, digest, publisher, now)
         self.announce()
 
     def announce(self) -> None:
-        """Sends what is in force and proposed to all members, and votes itself."""
+        """Announces the version in force and the proposal to all members, and casts this member's vote."""
         proposal = self.proposal
         self.announcements += 1
         announcement = messages.VersionAnnouncement(
@@ -268,7 +275,7 @@
             self.acceptor.vote(self.identity.number, announcement)
 
     def decide(self, now: float, proposal: Proposal) -> None:
-        """Puts the proposal in force, abandons it, or waits for more votes."""
+        """Commits the proposal, abandons it, or waits for more votes."""
         objections = self.effective_objections(proposal)
         accepted = len(proposal.votes) - len(objections)
         reachable = [member for member, at in self.reached_at.items() if now < at + LEASE_DURATION]
@@ -287,17 +294,17 @@
     def effective_objections(self, proposal: Proposal) -> dict[int, str]:
         """Returns the objections that count, by member."""
         if proposal.publisher is None:
-            # It may be in force somewhere already, so an objection comes too late.
+            # A recovered proposal may be in force elsewhere already, so objections come too late.
             return {}
         return {member: reason for member, reason in proposal.votes.items() if reason}
 
     def objections_reject(self, objections: dict[int, str]) -> bool:
-        """Returns whether these objections keep a text from being published."""
+        """Returns whether these objections reject a text."""
         identity = self.identity
         return self.one_objection_rejects or len(objections) > identity.members - identity.majority
 
     def commit(self, proposal: Proposal) -> None:
-        """Puts an accepted proposal in force."""
+        """Puts an accepted proposal in force, and announces it."""
         self.proposal = None
         self.acceptor.put_in_force(proposal.version, proposal.digest)
         if proposal.publisher is not None:
@@ -305,7 +312,7 @@
         self.announce()
 
     def abandon(self, proposal: Proposal, reason: str) -> None:
-        """Gives a proposal up."""
+        """Abandons a proposal, and announces that there is none."""
         self.proposal = None
         self.acceptor.drop_accepted()
         self.callbacks.log(f"{self.identity.name}: version {proposal.version} is not published: {reason}")
--- a/brambleplank/fleet/versions/reviews.py
+++ b/brambleplank/fleet/versions/reviews.py
@@ -1,4 +1,4 @@
-"""What this process has against the texts that it was asked to judge."""
+"""This process's reviews of proposed texts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TextReviews:
-    """Has each text judged once, and remembers the objection until it is forgotten."""
+    """Reviews each text once, and stores the objection until it is discarded."""
 
     def __init__(self, review: Reviewer, text: Callable[[int], bytes]) -> None:
         self.review = review
@@ -17,7 +17,7 @@
         self.in_progress: set[int] = set()
 
     def ensure_reviewed(self, digest: int) -> bool:
-        """Returns whether a text that is here was prepared and judged; if not, that begins."""
+        """Returns whether a stored text has been prepared and reviewed; if not, starts that."""
         if digest not in self.objections and digest not in self.in_progress:
             self.in_progress.add(digest)
 
@@ -29,9 +29,9 @@
         return digest in self.objections
 
     def objection(self, digest: int) -> str:
-        """Returns the objection to a text that was judged; "" if there is none."""
+        """Returns the objection to a reviewed text; "" if there is none."""
         return self.objections[digest]
 
     def forget_others(self, digest: int) -> None:
-        """Forgets all objections but that to one text."""
+        """Discards the reviews of all texts but one."""
         self.objections = {old: reason for old, reason in self.objections.items() if old == digest}
--- a/brambleplank/fleet/versions/startup.py
+++ b/brambleplank/fleet/versions/startup.py
@@ -1,4 +1,4 @@
-"""What a restarted process asks and learns of the version in force, before it follows a leader."""
+"""How a restarted process learns the version in force before it follows a leader."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 from brambleplank.fleet.versions.identity import AgreementIdentity
 
-MEMBERS_PER_ROUND = 3  # other members that a restarted process reports to at once
-REPORT_ROUNDS = 10  # rounds of reports that it sends to them
-MAX_CLAIMS = 12  # versions that members call in force
-MIN_CLAIMANTS = 2  # members that must agree on one
+MEMBERS_PER_ROUND = 3  # members besides the leader that get a report in one round
+REPORT_ROUNDS = 10
+MAX_CLAIMS = 12  # versions claimed to be in force, beyond which claims are ignored
+MIN_CLAIMANTS = 2  # members that must claim the same version and digest
 
 
 class StartupDiscovery:
-    """Learns the version in force from other members, as the leader may just have ended."""
+    """Learns the version in force from several members, as the leader's process may just have ended."""
 
     def __init__(self, identity: AgreementIdentity, rng: Random) -> None:
         self.identity = identity
         self.rng = rng
         self.rounds_left = REPORT_ROUNDS
-        # Versions with their digests that members called in force, and by whom.
+        # The members that claim a version to be in force, by the version and the digest of its text.
         self.claims: dict[tuple[int, int], set[int]] = {}
 
     def members_to_query(self, leader: int | None) -> list[int]:
-        """Returns the members beside the leader to report to in this round; none once all rounds are over."""
+        """Returns the members besides the leader that get a report in this round; none after the last one."""
         if not self.rounds_left:
             return []
         self.rounds_left -= 1
@@ -31,9 +31,9 @@
         return self.rng.sample(others, min(MEMBERS_PER_ROUND, len(others)))
 
     def add_claim(self, version: int, digest: int, member: int) -> bool:
-        """Notes that a member calls a version in force, and returns whether enough members do.
+        """Records a member's claim that a version is in force; returns whether enough members claim it.
 
-        A single faulty one could otherwise give this process any text under the highest number.
+        Otherwise a single faulty member could make this process use any text, as the highest version.
         """
         if len(self.claims) > MAX_CLAIMS:
             return False
@@ -42,5 +42,5 @@
         return len(claimants) >= min(MIN_CLAIMANTS, self.identity.members - 1)
 
     def forget_claims(self) -> None:
-        """Forgets what members called in force."""
+        """Discards all claims."""
         self.claims.clear()
--- a/brambleplank/fleet/versions/texts.py
+++ b/brambleplank/fleet/versions/texts.py
@@ -1,4 +1,4 @@
-"""The texts that an agreement is about: stored by digest, and fetched from other members in chunks."""
+"""Storage of the texts of an agreement by digest, and their transfer between members in chunks."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 from brambleplank.fleet.leases.timing import HEARTBEAT_INTERVAL
 from brambleplank.fleet.versions.identity import AgreementIdentity, SendMessage
 
-MAX_TEXT_SIZE = 1024 * 1024  # bytes of a text
-CHUNKS_PER_REQUEST = 24  # sent for one request
-CHUNK_RETRY = HEARTBEAT_INTERVAL / 4  # seconds until a chunk is requested again
+MAX_TEXT_SIZE = 1024 * 1024  # bytes
+CHUNKS_PER_REQUEST = 24  # sent in response to one request
+CHUNK_RETRY = HEARTBEAT_INTERVAL / 4  # seconds until missing chunks are requested again
 MAX_STORED_TEXTS = 4
 DIGEST_SIZE = 6  # bytes
-COMPRESSION_LEVEL = 9
+COMPRESSION_LEVEL = 9  # of zlib
 
 
 def digest_of(text: bytes) -> int:
-    """Returns the number by which a text is named in messages."""
+    """Returns the digest that identifies a text in messages."""
     return int.from_bytes(hashlib.blake2b(text, digest_size=DIGEST_SIZE).digest(), "big")
 
 
 @dataclass
 class Download:
-    """A text that is being fetched, chunk by chunk."""
+    """A text that is being downloaded in chunks."""
 
     digest: int
-    source: int  # the member that is asked
-    total: int = 0  # chunks of the text, as the last chunk said
+    source: int  # the member that sends the chunks
+    total: int = 0  # chunks of the text, as stated by the newest chunk
     chunks: dict[int, bytes] = field(default_factory=dict)
     requested_at: float = float("-inf")
 
     def first_missing(self) -> int:
-        """Returns the index of the first chunk that has not arrived."""
+        """Returns the index of the first missing chunk."""
         return next(n for n in range(len(self.chunks) + 1) if n not in self.chunks)
 
 
 class TextStore:
-    """Keeps texts compressed, and downloads one at a time.
+    """Stores compressed texts, and downloads one text at a time.
 
-    `in_use` gives the digests that must not be dropped.
+    `in_use` returns the digests of the texts that must stay stored.
     """
 
     def __init__(
@@ -55,13 +55,14 @@
         self.download: Download | None = None
 
     def __contains__(self, digest: int) -> bool:
-        """Whether the text is here."""
+        """Returns whether a text is stored."""
         return digest in self.compressed
 
     def store(self, text: bytes) -> int:
         """Stores a text and returns its digest.
 
-        Old unused ones are dropped, or texts that are published would fill the memory.
+        Unused texts beyond the limit are dropped, the oldest first, so that published texts do not fill the
+        memory.
         """
         digest = digest_of(text)
         self.compressed.pop(digest, None)
@@ -73,11 +74,11 @@
         return digest
 
     def text(self, digest: int) -> bytes:
-        """Returns a stored text. Raises KeyError if it is not here."""
+        """Returns a stored text. Raises KeyError if it is not stored."""
         return zlib.decompress(self.compressed[digest])
 
     def fetch(self, digest: int, source: int) -> bool:
-        """Returns whether a text is here; if not, a download from the source begins."""
+        """Returns whether a text is stored; if not, starts its download from another member."""
         if digest in self.compressed:
             return True
         if source == self.identity.number:
@@ -89,7 +90,7 @@
         return False
 
     def request_chunks(self, now: float) -> None:
-        """Requests the first missing chunks, if the last request was some time ago."""
+        """Requests chunks from the first missing one on, unless the last request was too recent."""
         download = self.download
         if download is None or now < download.requested_at + CHUNK_RETRY:
             return
@@ -98,7 +99,7 @@
         self.send(request, download.source)
 
     def send_chunks(self, member: int, request: messages.ChunkRequest) -> None:
-        """Sends the requested chunks to a member, if the text is here."""
+        """Sends the requested chunks to a member, if the text is stored here."""
         data = self.compressed.get(request.digest)
         if data is None:
             return
@@ -109,7 +110,7 @@
             self.send(chunk, member)
 
     def receive_chunk(self, now: float, chunk: messages.Chunk) -> None:
-        """Takes a chunk of the text that is being downloaded; the last one completes it."""
+        """Adds a chunk to the current download; the last one completes it."""
         download = self.download
         if download is None or chunk.digest != download.digest:
             return
@@ -126,10 +127,10 @@
             self.request_chunks(now)
 
     def complete(self, download: Download) -> None:
-        """Stores a text whose chunks have arrived, if they are that text."""
+        """Stores a downloaded text, if its digest is the expected one."""
         try:
             data = b"".join(download.chunks[n] for n in range(download.total))
-            # Without the limit, a small text could be one that decompresses to any size.
+            # Without the limit, a small download could decompress to any size.
             text = zlib.decompressobj().decompress(data, MAX_TEXT_SIZE)
         except (zlib.error, KeyError):
             return
