--- a/brambleplank/fleet/versions/agreement.py
+++ b/brambleplank/fleet/versions/agreement.py
@@ -103,7 +103,7 @@
     def publish(self, text: bytes, leader: int | None) -> None:
         """Requests publication of an operator's text; the request is repeated until the leader decides."""
         if digest_of(text) == self.digest:
-            self.log(f"not published: version {self.version}, which is in force, has the same text")
+            self.log(f"not published: version {self.version} already has this text")
             return
         # The request names the version that it replaces. Otherwise a request from before a partition could
         # replace a version that was published during it.
