--- a/brambleplank/fleet/retirement/plan.py
+++ b/brambleplank/fleet/retirement/plan.py
@@ -190,7 +190,7 @@
     return step.share > 0 and caller_position(retirement.name, caller) < step.share
 
 
-def judge(reading: DocumentReader, n: int, retirement: Retirement) -> None:
+def check_retirement(reading: DocumentReader, n: int, retirement: Retirement) -> None:
     """Adds the faults of one timeline, by line and key."""
     at: KeyPath = ("retirement", n)
     check_dates(reading, at, retirement)
--- a/brambleplank/fleet/retirement/progress.py
+++ b/brambleplank/fleet/retirement/progress.py
@@ -29,7 +29,7 @@
 from brambleplank.fleet.versions.agreement import VersionAgreement
 from brambleplank.fleet.versions.identity import AgreementCallbacks
 
-KIND = 1  # of text, in messages
+TEXT_KIND = 1  # of text, in messages
 MIN_STEP_SHARE = 1 / 4  # of the time between two steps that the first lasts at least, whatever a clock says
 MIN_STEP_DURATION = 2 * HEARTBEAT_INTERVAL
 CLOCK_TOLERANCE = LEASE_DURATION  # seconds by which a member's clock may be behind the leader's
@@ -106,7 +106,7 @@
         self.evidence = Evidence(self.samples, fleet.coverage, servers)
         self.evidence_at: dict[str, float] = {}  # when a reason to halt was last found
         self.agreement = VersionAgreement(
-            fleet.agreement_identity(KIND, "retirements"),
+            fleet.agreement_identity(TEXT_KIND, "retirements"),
             AgreementCallbacks(fleet.send, self.review, self.apply, log),
             fleet.rng,
             one_objection_rejects=False,
--- a/brambleplank/fleet/routing/active_routes.py
+++ b/brambleplank/fleet/routing/active_routes.py
@@ -20,16 +20,16 @@
 from brambleplank.fleet.versions.identity import AgreementCallbacks
 from brambleplank.fleet.versions.texts import digest_of
 
-KIND = 0  # of text, in messages
+TEXT_KIND = 0  # of text, in messages
 STARTUP_WAIT = 3 * HEARTBEAT_INTERVAL  # seconds that a start asks the others which version is in force
-TABLES_KEPT = 4
-MAX_LINES = 8  # findings that are logged one by one
+MAX_STORED_TABLES = 4
+MAX_LOGGED_LINES = 8  # findings that are logged one by one
 
-Work = Callable[[Callable[[], Any], Callable[[Any], None]], None]
+RunInBackground = Callable[[Callable[[], Any], Callable[[Any], None]], None]
 
 
 @dataclass(frozen=True)
-class ReadTable:
+class LintedTable:
     """What reading and linting a text came to."""
 
     table: route_table.RouteTable | None  # None: the text has faults
@@ -54,41 +54,41 @@
     def __init__(
         self,
         fleet: FleetMember,
-        known: Callable[[bool], LintContext],
-        work: Work,
+        lint_context: Callable[[bool], LintContext],
+        run_in_background: RunInBackground,
         text: bytes,
         log: Callable[[str], Any],
     ) -> None:
         """`text` is this process's file. Raises RouteTableError if it has a fault."""
         self.fleet = fleet
-        self.known = known
-        self.work = work
+        self.lint_context = lint_context
+        self.run_in_background = run_in_background
         self.log = log
         table, faults = route_table.read(text.decode(errors="replace"))
         if table is None:
             more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
             raise RouteTableError(f"{faults[0]}{more}")
         self.table = table
-        self.began = fleet.identity.began
+        self.started_at = fleet.identity.began
         self.tables: dict[int, route_table.RouteTable] = {}  # prepared, by the digests of their texts
-        self.by_file = False  # whether no member said which version is in force
+        self.uses_own_file = False  # whether no member said which version is in force
         self.agreement = VersionAgreement(
-            fleet.agreement_identity(KIND, "routes"),
+            fleet.agreement_identity(TEXT_KIND, "routes"),
             AgreementCallbacks(fleet.send, self.review, self.apply, log),
             fleet.rng,
         )
         fleet.agreements.add(self.agreement)
         self.agreement.set_initial_text(text)
-        work(lambda: lint(table, self.known(False)), self.log_lines)
+        run_in_background(lambda: lint(table, self.lint_context(False)), self.log_lines)
 
     def is_ready(self, now: float) -> bool:
         """Returns whether requests may be taken. To wait for ever would cost more than an old file does."""
-        if self.agreement.version or self.by_file:
+        if self.agreement.version or self.uses_own_file:
             return True
-        if now >= self.began + STARTUP_WAIT:
-            self.by_file = True
+        if now >= self.started_at + STARTUP_WAIT:
+            self.uses_own_file = True
             self.log("routes: no member reported the version in force: starts with its own file")
-        return self.by_file
+        return self.uses_own_file
 
     def find(self, service_type: str, customer: str, version: str, key: int) -> route_table.Route | None:
         """Returns the rule that decides; None: the request is served as if there were no table."""
@@ -96,7 +96,7 @@
 
     def log_lines(self, lines: Sequence[object]) -> None:
         """Logs the first of these faults and findings."""
-        for line in lines[:MAX_LINES]:
+        for line in lines[:MAX_LOGGED_LINES]:
             self.log(f"routes: {line}")
 
     # Publishing.
@@ -108,27 +108,27 @@
             return
         self.log("routes: the file is read and linted")
 
-        def done(read: ReadTable) -> None:
-            self.log_lines([*read.faults, *read.findings])
-            if read.table is None or read.objections:
+        def done(linted: LintedTable) -> None:
+            self.log_lines([*linted.faults, *linted.findings])
+            if linted.table is None or linted.objections:
                 self.log("routes: not published; the table in force stays")
             else:
-                self.store_table(digest, read.table)
+                self.store_table(digest, linted.table)
                 self.agreement.publish(text, self.fleet.election.leader)
 
-        self.work(lambda: self.read(text, True), done)
+        self.run_in_background(lambda: self.read_and_lint(text, True), done)
 
-    def read(self, text: bytes, first_sight: bool) -> ReadTable:
+    def read_and_lint(self, text: bytes, first_sight: bool) -> LintedTable:
         """Reads and lints a text."""
         table, faults = route_table.read(text.decode(errors="replace"))
         if table is None:
-            return ReadTable(None, list(map(str, faults)), [])
-        return ReadTable(table, [], lint(table, self.known(first_sight)))
+            return LintedTable(None, list(map(str, faults)), [])
+        return LintedTable(table, [], lint(table, self.lint_context(first_sight)))
 
     def store_table(self, digest: int, table: route_table.RouteTable) -> None:
         """Stores a prepared table, and drops the oldest beyond the limit."""
         self.tables[digest] = table
-        while len(self.tables) > TABLES_KEPT:
+        while len(self.tables) > MAX_STORED_TABLES:
             del self.tables[next(old for old in self.tables if old not in (digest, self.agreement.digest))]
 
     # Called by the agreement.
@@ -136,18 +136,18 @@
     def review(self, digest: int, text: bytes, done: Callable[[str], None]) -> None:
         """Reads and lints a proposed text, and calls back with the first objection."""
 
-        def finish(read: ReadTable) -> None:
-            if read.table is not None:
-                self.store_table(digest, read.table)
-            done(read.objections[0] if read.objections else "")
+        def finish(linted: LintedTable) -> None:
+            if linted.table is not None:
+                self.store_table(digest, linted.table)
+            done(linted.objections[0] if linted.objections else "")
 
-        self.work(lambda: self.read(text, False), finish)
+        self.run_in_background(lambda: self.read_and_lint(text, False), finish)
 
-    def apply(self, number: int, digest: int) -> None:
+    def apply(self, version: int, digest: int) -> None:
         """Puts the prepared table of a version in force."""
         table = self.tables.get(digest)
         if table is None:
-            self.log(f"routes: version {number} cannot be read here; the table before stays in use")
+            self.log(f"routes: version {version} cannot be read here; the table before stays in use")
         else:
             self.table = table
 
--- a/brambleplank/fleet/routing/admission.py
+++ b/brambleplank/fleet/routing/admission.py
@@ -14,14 +14,14 @@
 from brambleplank.fleet.routing.route_table import Route
 from brambleplank.fleet.shapes import REQUEST_BUDGETS, BudgetTable
 
-MAX_WARNED = 256  # retirements and customers that are named in the log
+MAX_LOGGED_WARNINGS = 256  # retirements and customers that are named in the log
 
 
 class AdmissionDecision(NamedTuple):
     """Whether a new request may go on."""
 
     admitted: bool
-    come_back: float | None = None  # seconds until a client that a rule refuses should come again
+    retry_after: float | None = None  # seconds until a client that a rule refuses should come again
 
 
 ADMITTED = AdmissionDecision(True)
@@ -55,23 +55,23 @@
         self,
         fleet: FleetMember,
         tables: list[BudgetTable],
-        routing: ActiveRoutes | None = None,
-        retiring: RetirementProgress | None = None,
+        active_routes: ActiveRoutes | None = None,
+        retirement_progress: RetirementProgress | None = None,
         notices: bool = False,
     ) -> None:
         """`notices`: whether clients may be told of a retirement."""
         self.fleet = fleet
-        self.routing = routing
-        self.retiring = retiring
+        self.active_routes = active_routes
+        self.retirement_progress = retirement_progress
         self.notices = notices
         self.warned: set[tuple[str, str]] = set()  # retirements and customers that the log names already
         self.budgets = [BudgetAccount(table, fleet.account(table.name)) for table in tables]
-        self.flows: dict[Any, AdmittedRequest] = {}
+        self.requests: dict[Any, AdmittedRequest] = {}
 
     def admit(
         self,
         now: float,
-        flow: Any,
+        handle: Any,
         service_type: str,
         customer: str,
         version: str,
@@ -79,53 +79,53 @@
         group: int | None,
     ) -> AdmissionDecision:
         """Decides on a new request; what it needs is taken, all or nothing."""
-        request = self.request_of(service_type, customer, version, key, group)
-        self.note(CountKind.OFFERED, request)
+        request = self.new_request(service_type, customer, version, key, group)
+        self.count(CountKind.OFFERED, request)
         route = None
-        if self.routing is not None:
-            route = self.routing.find(service_type, customer, request.version, key)
+        if self.active_routes is not None:
+            route = self.active_routes.find(service_type, customer, request.version, key)
         if route is not None:
             decision = self.decide_by_rule(now, route, request)
             if not decision.admitted:
                 return decision
-        if not self.take_units(now, self.budgets_of(route, request), request):
-            self.note(CountKind.REFUSED, request)
+        if not self.take_units(now, self.required_budgets(route, request), request):
+            self.count(CountKind.REFUSED, request)
             return REFUSED
-        self.flows[flow] = request
+        self.requests[handle] = request
         return ADMITTED
 
-    def request_of(
+    def new_request(
         self, service_type: str, customer: str, version: str, key: int, group: int | None
     ) -> AdmittedRequest:
         """Returns the record of a request; one that names no version is of the oldest."""
         caller = f"k{key}" if group is None else f"g{group}"
-        if not version and self.routing is not None:
-            version = self.routing.table.oldest
+        if not version and self.active_routes is not None:
+            version = self.active_routes.table.oldest
         return AdmittedRequest(service_type, customer, version, caller)
 
     def decide_by_rule(self, now: float, route: Route, request: AdmittedRequest) -> AdmissionDecision:
         """Decides by the rule that matches, before budgets are looked at."""
         if route.rule.does == "refuse":
-            self.note(CountKind.REFUSED, request)
+            self.count(CountKind.REFUSED, request)
             return AdmissionDecision(False, route.rule.come_back)
-        if route.rule.retirement and self.retiring is not None and self.routing is not None:
-            retirement = self.routing.table.retirements.get(route.rule.retirement)
+        if route.rule.retirement and self.retirement_progress is not None and self.active_routes is not None:
+            retirement = self.active_routes.table.retirements.get(route.rule.retirement)
             if retirement is not None:
-                return self.decide_by_retirement(now, self.retiring, retirement, request)
+                return self.decide_by_retirement(now, self.retirement_progress, retirement, request)
         return ADMITTED
 
     def decide_by_retirement(
-        self, now: float, retiring: RetirementProgress, retirement: Retirement, request: AdmittedRequest
+        self, now: float, progress: RetirementProgress, retirement: Retirement, request: AdmittedRequest
     ) -> AdmissionDecision:
         """Turns a caller away, or warns it, as far as its retirement is."""
-        if retiring.turns_away(now, retirement, request.customer, request.caller):
-            self.note(CountKind.SHED, request)
+        if progress.turns_away(now, retirement, request.customer, request.caller):
+            self.count(CountKind.SHED, request)
             return AdmissionDecision(False, retirement.come_back)
-        if retiring.warns(retirement):
+        if progress.warns(retirement):
             self.warn(retirement, request)
         return ADMITTED
 
-    def budgets_of(self, route: Route | None, request: AdmittedRequest) -> list[BudgetAccount]:
+    def required_budgets(self, route: Route | None, request: AdmittedRequest) -> list[BudgetAccount]:
         """Returns the budgets that a request needs a unit of."""
         needed = [
             budget
@@ -141,7 +141,7 @@
 
     def take_units(self, now: float, needed: list[BudgetAccount], request: AdmittedRequest) -> bool:
         """Takes a unit of each of these budgets for a request, if all have one."""
-        if not self.are_available(now, [budget.account for budget in needed]):
+        if not self.have_units(now, [budget.account for budget in needed]):
             return False
         for budget in needed:
             self.fleet.take(now, budget.table.name)
@@ -149,7 +149,7 @@
                 request.open_units.append(budget.account)
         return True
 
-    def are_available(self, now: float, accounts: list[Account]) -> bool:
+    def have_units(self, now: float, accounts: list[Account]) -> bool:
         """Returns whether all of these accounts have a unit; leases are requested for those that have not."""
         short = [account for account in accounts if not account.free(now)]
         for account in short:
@@ -158,7 +158,7 @@
 
     def warn(self, retirement: Retirement, request: AdmittedRequest) -> None:
         """Counts the caller; its customer is named in the log once."""
-        self.note(CountKind.WARNED, request)
+        self.count(CountKind.WARNED, request)
         successor = "/".join(
             part for part in (retirement.successor_type, retirement.successor_version) if part
         )
@@ -167,51 +167,51 @@
             name = retirement.name.replace(" ", "_")
             request.notice = f"NOTICE retired={name},ended={ended:%Y-%m-%dT%H:%M:%SZ},successor={successor}"
         warned = retirement.name, request.customer
-        if warned not in self.warned and len(self.warned) < MAX_WARNED:
+        if warned not in self.warned and len(self.warned) < MAX_LOGGED_WARNINGS:
             self.warned.add(warned)
             who = request.customer or "a caller without a customer"
             self.fleet.log(f"retirement {retirement.name}: {who} still comes; ends {ended:%Y-%m-%d %H:%M}")
 
-    def retirement_notice(self, flow: Any) -> str:
+    def retirement_notice(self, handle: Any) -> str:
         """Returns what a client that asked for it is told once its session is established."""
-        request = self.flows.get(flow)
+        request = self.requests.get(handle)
         return request.notice if request else ""
 
     def sessions_to_migrate(self, now: float) -> list[Any]:
         """Returns sessions with what has ended that are to be migrated in this second."""
         found: list[Any] = []
-        if self.retiring is None or self.routing is None:
+        if self.retirement_progress is None or self.active_routes is None:
             return found
-        for retirement in self.routing.table.retirements.values():
-            step = self.retiring.current_step(retirement)
+        for retirement in self.active_routes.table.retirements.values():
+            step = self.retirement_progress.current_step(retirement)
             if step is None or step.stage != RetirementStage.ENDED:
                 continue
             standing = [
-                flow
-                for flow, request in self.flows.items()
+                handle
+                for handle, request in self.requests.items()
                 if request.served
                 and request.service_type == retirement.service_type
                 and retirement.version in ("", request.version)
                 and turns_away(retirement, step, request.customer, request.caller)
             ]
-            found += standing[: self.retiring.moves(now, retirement, len(standing))]
+            found += standing[: self.retirement_progress.moves(now, retirement, len(standing))]
         return found
 
     def adopt(
-        self, flow: Any, service_type: str, customer: str, version: str, key: int, group: int | None
+        self, handle: Any, service_type: str, customer: str, version: str, key: int, group: int | None
     ) -> None:
         """Adopts a session from before this process began, whatever the budgets say."""
-        request = self.request_of(service_type, customer, version, key, group)
+        request = self.new_request(service_type, customer, version, key, group)
         request.served = True
-        self.flows[flow] = request
+        self.requests[handle] = request
         for table, account in self.budgets:
             if table.of == "connections" and table.covers(service_type, customer):
                 account.adopt()
                 request.open_units.append(account)
 
-    def allow_further_attempt(self, now: float, flow: Any) -> bool:
+    def allow_further_attempt(self, now: float, handle: Any) -> bool:
         """Returns whether a request may have another attempt; if so, it is counted."""
-        request = self.flows.get(flow)
+        request = self.requests.get(handle)
         if request is None:
             return True
         needed = [
@@ -219,27 +219,27 @@
             for table, account in self.budgets
             if table.of == "further" and table.covers(request.service_type, request.customer)
         ]
-        if not self.are_available(now, needed):
+        if not self.have_units(now, needed):
             return False
         return all(self.fleet.take(now, account.budget.name) for account in needed)
 
-    def request_established(self, flow: Any) -> None:
+    def request_established(self, handle: Any) -> None:
         """Counts a request as established, once."""
-        request = self.flows.get(flow)
+        request = self.requests.get(handle)
         if request and not request.served:
             request.served = True
-            self.note(CountKind.SERVED, request)
+            self.count(CountKind.SERVED, request)
 
-    def request_ended(self, flow: Any, rejected: bool) -> None:
+    def request_ended(self, handle: Any, rejected: bool) -> None:
         """Forgets a request that has its final answer, and gives back what it holds."""
-        request = self.flows.pop(flow, None)
+        request = self.requests.pop(handle, None)
         if request is None:
             return
         if rejected:
-            self.note(CountKind.REFUSED, request)
+            self.count(CountKind.REFUSED, request)
         for account in request.open_units:
             account.release()
 
-    def note(self, kind: CountKind, request: AdmittedRequest) -> None:
+    def count(self, kind: CountKind, request: AdmittedRequest) -> None:
         """Counts a request."""
         self.fleet.counts.note(kind, request.service_type, request.customer, request.version)
--- a/brambleplank/fleet/routing/key_ranges.py
+++ b/brambleplank/fleet/routing/key_ranges.py
@@ -37,34 +37,34 @@
 
     def claim(self, first: int, last: int, rule: int) -> None:
         """Gives a rule what no earlier one has of a range."""
-        at = bisect_right(self.starts, first)
-        if at and self.ends[at - 1] >= first:
-            first = self.ends[at - 1] + 1
+        index = bisect_right(self.starts, first)
+        if index and self.ends[index - 1] >= first:
+            first = self.ends[index - 1] + 1
         while first <= last:
-            gap_end = min(last, self.starts[at] - 1) if at < len(self.starts) else last
-            if first <= gap_end and self.insert(at, KeyRange(first, gap_end), rule):
-                at += 1
-            if at == len(self.starts):
+            gap_end = min(last, self.starts[index] - 1) if index < len(self.starts) else last
+            if first <= gap_end and self.fill_gap(index, KeyRange(first, gap_end), rule):
+                index += 1
+            if index == len(self.starts):
                 return
-            first = self.ends[at] + 1
-            at += 1
+            first = self.ends[index] + 1
+            index += 1
 
-    def insert(self, at: int, gap: KeyRange, rule: int) -> bool:
+    def fill_gap(self, index: int, gap: KeyRange, rule: int) -> bool:
         """Gives a rule a gap before the piece at an index. Returns whether that took a piece of its own."""
-        if at and self.rules[at - 1] == rule and self.ends[at - 1] == gap.first - 1:
-            self.ends[at - 1] = gap.last
+        if index and self.rules[index - 1] == rule and self.ends[index - 1] == gap.first - 1:
+            self.ends[index - 1] = gap.last
             return False
-        self.starts.insert(at, gap.first)
-        self.ends.insert(at, gap.last)
-        self.rules.insert(at, rule)
+        self.starts.insert(index, gap.first)
+        self.ends.insert(index, gap.last)
+        self.rules.insert(index, rule)
         return True
 
     def find(self, key: int) -> Claim | None:
         """Returns the rule that has a key, and how far; None if no rule has it."""
-        at = bisect_right(self.starts, key) - 1
-        if at < 0 or key > self.ends[at]:
+        index = bisect_right(self.starts, key) - 1
+        if index < 0 or key > self.ends[index]:
             return None
-        return Claim(self.rules[at], self.ends[at])
+        return Claim(self.rules[index], self.ends[index])
 
 
 def parse_ranges(texts: list[str]) -> tuple[KeyRange, ...] | None:
--- a/brambleplank/fleet/routing/lint.py
+++ b/brambleplank/fleet/routing/lint.py
@@ -15,26 +15,26 @@
 from brambleplank.fleet.routing.key_ranges import ALL_KEYS
 from brambleplank.fleet.routing.retirement_lint import RetirementLint
 from brambleplank.fleet.routing.route_table import Route, RouteTable
-from brambleplank.fleet.routing.rule_sets import KeySets, ValueSets, members_of
+from brambleplank.fleet.routing.rule_sets import KeyIndex, ValueIndex, rule_numbers
 from brambleplank.fleet.routing.rules import Rule
 
 __all__ = ["Finding", "LintContext", "lint"]
 
 ANOTHER_VALUE = "\0"  # one that no rule names
 ANY = "any"  # in an example: not named
-RULES_NAMED = 4  # of those that shadow a rule
+MAX_RULES_NAMED = 4  # of those that shadow a rule
 
 
-def lint(table: RouteTable, known: LintContext) -> list[Finding]:
+def lint(table: RouteTable, context: LintContext) -> list[Finding]:
     """Returns everything that is wrong with a table, by line."""
     findings = FindingList()
     if table.routes:
-        names = NameLint(table, known, findings)
-        overlaps = OverlapLint(table, known, findings)
+        names = NameLint(table, context, findings)
+        overlaps = OverlapLint(table, context, findings)
         for route in table.routes:
             names.check(route)
             overlaps.check(route)
-    retirements = RetirementLint(table, known, findings)
+    retirements = RetirementLint(table, context, findings)
     for retirement in table.retirements.values():
         retirements.check(retirement)
     return findings.sorted()
@@ -43,59 +43,59 @@
 class NameLint:
     """Finds rules that name what nothing in the fleet has."""
 
-    def __init__(self, table: RouteTable, known: LintContext, findings: FindingList) -> None:
+    def __init__(self, table: RouteTable, context: LintContext, findings: FindingList) -> None:
         self.table = table
-        self.known = known
+        self.context = context
         self.findings = findings
 
     def check(self, route: Route) -> None:
         """Adds the findings of one rule."""
         rule = route.rule
-        known = self.known
+        context = self.context
         if rule.retirement and rule.retirement not in self.table.retirements:
-            self.unreachable(route, f'no retirement "{rule.retirement}"', "write its timeline")
-        unknown_type = first_outside(rule.service_type, known.service_types)
+            self.add_unreachable(route, f'no retirement "{rule.retirement}"', "write its timeline")
+        unknown_type = first_unknown(rule.service_type, context.service_types)
         if unknown_type is not None:
-            names = ", ".join(known.service_types)
-            self.unreachable(route, f'no service type "{unknown_type}"', f"write one of {names}")
-        unknown_customer = first_outside(rule.customer, known.customers) if known.customers else None
+            names = ", ".join(context.service_types)
+            self.add_unreachable(route, f'no service type "{unknown_type}"', f"write one of {names}")
+        unknown_customer = first_unknown(rule.customer, context.customers) if context.customers else None
         if unknown_customer is not None:
-            self.unreachable(route, f'no customer "{unknown_customer}"', "write one of the settings")
+            self.add_unreachable(route, f'no customer "{unknown_customer}"', "write one of the settings")
         listed = self.table.versions
-        unlisted = first_outside(rule.version, listed) if listed else None
+        unlisted = first_unknown(rule.version, listed) if listed else None
         if unlisted is not None:
-            self.unreachable(route, f'no version "{unlisted}"', "add it to versions")
+            self.add_unreachable(route, f'no version "{unlisted}"', "add it to versions")
         self.check_budget(route)
         if unknown_type is None and unknown_customer is None:
-            self.check_seen(route)
+            self.check_counted(route)
 
-    def unreachable(self, route: Route, wrong: str, instead: str) -> None:
+    def add_unreachable(self, route: Route, wrong: str, instead: str) -> None:
         """Adds a finding of a rule that names what is not there."""
         self.findings.add(route, FindingKind.UNREACHABLE, wrong, instead)
 
     def check_budget(self, route: Route) -> None:
         """Looks for a budget that is not there, or has nothing to lend."""
         name = route.rule.budget
-        if name and name not in self.known.budgets:
-            names = ", ".join(self.known.budgets) or "none is there"
-            self.unreachable(route, f'no budget "{name}"', f"write one of: {names}")
-        elif name in self.known.idle_budgets:
+        if name and name not in self.context.budgets:
+            names = ", ".join(self.context.budgets) or "none is there"
+            self.add_unreachable(route, f'no budget "{name}"', f"write one of: {names}")
+        elif name in self.context.idle_budgets:
             wrong = f'budget "{name}" is smaller than its reserves need'
             instead = "raise its limit or lower its reserve"
             self.findings.add(route, FindingKind.CONTRADICTORY, wrong, instead)
 
-    def check_seen(self, route: Route) -> None:
+    def check_counted(self, route: Route) -> None:
         """Looks whether any process has counted a request that a rule by customer or version matches."""
         rule = route.rule
-        if self.known.requests_counted is None or not (rule.customer or rule.version):
+        if self.context.requests_counted is None or not (rule.customer or rule.version):
             return
-        if not any(matches(rule, *seen) for seen in self.known.requests_counted):
+        if not any(matches(rule, *seen) for seen in self.context.requests_counted):
             wrong = "no process has seen a flow that it matches"
-            instead = f"see whether it is needed ({self.known.coverage})"
+            instead = f"see whether it is needed ({self.context.coverage})"
             self.findings.add(route, FindingKind.UNSEEN, wrong, instead, objects=False)
 
 
-def first_outside(values: Collection[str], known: Collection[str]) -> str | None:
+def first_unknown(values: Collection[str], known: Collection[str]) -> str | None:
     """Returns the first of these values that is not known."""
     return next((value for value in values if value not in known), None)
 
@@ -112,15 +112,15 @@
 class OverlapLint:
     """Finds rules that earlier ones shadow or contradict."""
 
-    def __init__(self, table: RouteTable, known: LintContext, findings: FindingList) -> None:
+    def __init__(self, table: RouteTable, context: LintContext, findings: FindingList) -> None:
         self.table = table
         self.routes = table.routes
-        self.known = known
+        self.context = context
         self.findings = findings
-        self.types = ValueSets([list(route.rule.service_type) for route in self.routes])
-        self.customers = ValueSets([list(route.rule.customer) for route in self.routes])
-        self.versions = ValueSets([list(route.rule.version) for route in self.routes])
-        self.keys = KeySets(self.routes)
+        self.types = ValueIndex([list(route.rule.service_type) for route in self.routes])
+        self.customers = ValueIndex([list(route.rule.customer) for route in self.routes])
+        self.versions = ValueIndex([list(route.rule.version) for route in self.routes])
+        self.keys = KeyIndex(self.routes)
         self.outcomes: dict[tuple[str, str], int] = {}  # which rules have each outcome
         for n, route in enumerate(self.routes):
             outcome = route.rule.outcome()
@@ -128,22 +128,24 @@
 
     def check(self, route: Route) -> None:
         """Adds a finding of one rule, if earlier ones take all of it or decide a part of it otherwise."""
-        meeting = self.earlier_meeting(route.number)
-        if not meeting:
+        overlapping = self.earlier_overlapping(route.number)
+        if not overlapping:
             return
-        covering = self.covering(route)
+        covering = self.covering_rules(route)
         if covering:
             self.add_shadowed(route, covering)
         else:
-            self.check_contradictions(route, meeting)
+            self.check_contradictions(route, overlapping)
 
-    def earlier_meeting(self, n: int) -> int:
+    def earlier_overlapping(self, n: int) -> int:
         """Returns the set of earlier rules that match some request which this one matches."""
         earlier = (1 << n) - 1
-        meeting = earlier & self.types.meet(n) & self.customers.meet(n) & self.versions.meet(n)
-        return self.keys.meet(n, meeting & self.keys.hulls_meet(n))
+        overlapping = (
+            earlier & self.types.overlapping(n) & self.customers.overlapping(n) & self.versions.overlapping(n)
+        )
+        return self.keys.overlapping(n, overlapping & self.keys.overlapping_hulls(n))
 
-    def covering(self, route: Route) -> list[int]:
+    def covering_rules(self, route: Route) -> list[int]:
         """Returns the earlier rules that together take all of this one, or none."""
         rule = route.rule
         another = [ANOTHER_VALUE]
@@ -153,8 +155,8 @@
         )
         if found:
             return found
-        types = rule.service_type or list(self.known.service_types)
-        customers = rule.customer or list(self.known.customers) or another
+        types = rule.service_type or list(self.context.service_types)
+        customers = rule.customer or list(self.context.customers) or another
         return self.taken(route, types, customers, rule.version or self.table.versions or another)
 
     def taken(self, route: Route, types: list[str], customers: list[str], versions: list[str]) -> list[int]:
@@ -174,8 +176,8 @@
     def add_shadowed(self, route: Route, others: list[int]) -> None:
         """Adds the finding that other rules take all of one."""
         first = self.routes[others[0]]
-        labels = ", ".join(self.routes[n].label for n in others[:RULES_NAMED])
-        more = " and more" if len(others) > RULES_NAMED else ""
+        labels = ", ".join(self.routes[n].label for n in others[:MAX_RULES_NAMED])
+        more = " and more" if len(others) > MAX_RULES_NAMED else ""
         self.findings.add(
             route,
             FindingKind.SHADOWED,
@@ -184,18 +186,18 @@
             self.example(route),
         )
 
-    def check_contradictions(self, route: Route, meeting: int) -> None:
+    def check_contradictions(self, route: Route, overlapping: int) -> None:
         """Looks for an earlier rule that decides a part of this one otherwise, neither inside nor round it.
 
         One is named for a rule; once that is mended, the next is found.
         """
         n = route.number
-        inside = self.types.lie_in(n) & self.customers.lie_in(n) & self.versions.lie_in(n)
-        around = self.types.hold(n) & self.customers.hold(n) & self.versions.hold(n)
-        candidates = meeting & ~self.outcomes[route.rule.outcome()] & ~(around & self.keys.full)
+        inside = self.types.contained_in(n) & self.customers.contained_in(n) & self.versions.contained_in(n)
+        around = self.types.containing(n) & self.customers.containing(n) & self.versions.containing(n)
+        candidates = overlapping & ~self.outcomes[route.rule.outcome()] & ~(around & self.keys.with_all_keys)
         if route.ranges == (ALL_KEYS,):
             candidates &= ~inside
-        for other in members_of(candidates):
+        for other in rule_numbers(candidates):
             if inside >> other & 1 and self.keys.encloses(n, other):
                 continue
             if around >> other & 1 and self.keys.encloses(other, n):
@@ -217,8 +219,8 @@
         """Returns a request that one or both rules match."""
         rule = route.rule
         theirs = other.rule if other else Rule("serve")
-        service_type = common_value(rule.service_type, theirs.service_type, self.known.service_types)
-        customer = common_value(rule.customer, theirs.customer, self.known.customers)
+        service_type = common_value(rule.service_type, theirs.service_type, self.context.service_types)
+        customer = common_value(rule.customer, theirs.customer, self.context.customers)
         version = common_value(rule.version, theirs.version, ())
         parts = [f"c={service_type}"]
         if customer != ANY:
@@ -229,7 +231,7 @@
         return f"key {key:x} {','.join(parts)}"
 
 
-def common_value(own: list[str], theirs: list[str], usual: Collection[str]) -> str:
+def common_value(own: list[str], theirs: list[str], defaults: Collection[str]) -> str:
     """Returns a value that two rules match; `usual` are values to choose of where neither names any."""
     both = [value for value in own if not theirs or value in theirs] or theirs
-    return both[0] if both else next(iter(usual), ANY)
+    return both[0] if both else next(iter(defaults), ANY)
--- a/brambleplank/fleet/routing/retirement_lint.py
+++ b/brambleplank/fleet/routing/retirement_lint.py
@@ -11,7 +11,7 @@
 from brambleplank.fleet.routing.rules import Rule
 
 
-class Report(Protocol):
+class ReportFinding(Protocol):
     """Adds a finding of one retirement."""
 
     def __call__(self, kind: FindingKind, wrong: str, instead: str) -> None:
@@ -21,9 +21,9 @@
 class RetirementLint:
     """The retirements of one table, held against what one process knows."""
 
-    def __init__(self, table: RouteTable, known: LintContext, findings: FindingList) -> None:
+    def __init__(self, table: RouteTable, context: LintContext, findings: FindingList) -> None:
         self.table = table
-        self.known = known
+        self.context = context
         self.findings = findings
 
     def check(self, retirement: Retirement) -> None:
@@ -34,7 +34,7 @@
             report(FindingKind.UNREACHABLE, "no rule goes by it", instead)
         self.check_names(retirement, report)
         self.check_budgets(retirement, report)
-        if retirement.notice and not self.known.notices:
+        if retirement.notice and not self.context.notices:
             wrong = "no client here may be sent a line after UP"
             report(FindingKind.UNREACHABLE, wrong, "leave notice out")
         self.check_successor(retirement, report)
@@ -42,37 +42,37 @@
 
     def report(self, retirement: Retirement, kind: FindingKind, wrong: str, instead: str) -> None:
         """Adds a finding of a retirement."""
-        line = self.table.lines.get(retirement.name, 0)
+        line = self.table.retirement_lines.get(retirement.name, 0)
         self.findings.add_unlimited(line, kind, f'retirement "{retirement.name}": {wrong}', instead)
 
-    def check_names(self, retirement: Retirement, report: Report) -> None:
+    def check_names(self, retirement: Retirement, report: ReportFinding) -> None:
         """Looks for service types and versions that nobody has."""
         listed = self.table.versions
         for service_type, version in (
             (retirement.service_type, retirement.version),
             (retirement.successor_type, retirement.successor_version),
         ):
-            if service_type and service_type not in self.known.service_types:
-                names = ", ".join(self.known.service_types)
+            if service_type and service_type not in self.context.service_types:
+                names = ", ".join(self.context.service_types)
                 report(FindingKind.UNREACHABLE, f'no service type "{service_type}"', f"write one of {names}")
             if version and listed and version not in listed:
                 report(FindingKind.UNREACHABLE, f'no version "{version}"', "add it to versions")
 
-    def check_budgets(self, retirement: Retirement, report: Report) -> None:
+    def check_budgets(self, retirement: Retirement, report: ReportFinding) -> None:
         """Looks for budgets that are not there, or are of another kind."""
         for name, kind in ((retirement.ceiling, "away"), (retirement.moves, "moves")):
-            if name and self.known.budget_kinds.get(name) != kind:
+            if name and self.context.budget_kinds.get(name) != kind:
                 wrong = f'no budget "{name}" of = "{kind}"'
                 report(FindingKind.UNREACHABLE, wrong, "add it to the fleet's budgets")
 
-    def check_timeline(self, retirement: Retirement, report: Report) -> None:
+    def check_timeline(self, retirement: Retirement, report: ReportFinding) -> None:
         """Looks for steps that would move back what is under way, or are all over."""
-        place = self.known.retirement_steps.get(retirement.name)
-        if place is None:
-            if self.known.wall_time is not None and retirement.ended.timestamp() <= self.known.wall_time:
+        progress = self.context.retirement_steps.get(retirement.name)
+        if progress is None:
+            if self.context.wall_time is not None and retirement.ended.timestamp() <= self.context.wall_time:
                 report(FindingKind.UNREACHABLE, "its timeline is over", "write dates to come")
             return
-        number, current = place
+        number, current = progress
         steps = steps_of(retirement)
         planned = steps[number] if number < len(steps) else None
         if planned is None or (planned.stage, planned.share) != (current.stage, current.share):
@@ -80,14 +80,14 @@
             wrong = f"{where}, and this would move it back"
             report(FindingKind.CONTRADICTORY, wrong, "leave the steps that are done")
 
-    def check_successor(self, retirement: Retirement, report: Report) -> None:
+    def check_successor(self, retirement: Retirement, report: ReportFinding) -> None:
         """Looks for a successor that cannot take over."""
         service_type, version = retirement.successor
         if (service_type, version) == (retirement.service_type, retirement.version):
             instead = "write successor_version or successor_type"
             report(FindingKind.CONTRADICTORY, "it has no successor but itself", instead)
             return
-        ranks = self.known.idempotency_ranks
+        ranks = self.context.idempotency_ranks
         if ranks.get(service_type, 0) < ranks.get(retirement.service_type, 0):
             wrong = (
                 f'flows of "{service_type}", its successor, may run twice, '
@@ -96,13 +96,13 @@
             instead = "write a successor of an effect that needs as much"
             report(FindingKind.CONTRADICTORY, wrong, instead)
         for route in self.table.routes:
-            if route.rule.does == "refuse" and takes_all(route.rule, service_type, version):
+            if route.rule.does == "refuse" and matches_all_customers(route.rule, service_type, version):
                 wrong = f"its successor is refused by {route.label}"
                 report(FindingKind.CONTRADICTORY, wrong, "serve the successor")
                 break
         self.check_chain(retirement, report)
 
-    def check_chain(self, retirement: Retirement, report: Report) -> None:
+    def check_chain(self, retirement: Retirement, report: ReportFinding) -> None:
         """Looks for successors that are retired as well, and no later."""
         chain = [retirement]
         while (following := self.retirement_of_successor(chain[-1])) is not None and following not in chain:
@@ -120,7 +120,7 @@
         return next((r for r in others if retirement.successor == (r.service_type, r.version)), None)
 
 
-def takes_all(rule: Rule, service_type: str, version: str) -> bool:
+def matches_all_customers(rule: Rule, service_type: str, version: str) -> bool:
     """Returns whether a rule matches requests of that service type and version of all customers."""
     return (
         (not rule.service_type or service_type in rule.service_type)
--- a/brambleplank/fleet/routing/route_table.py
+++ b/brambleplank/fleet/routing/route_table.py
@@ -64,7 +64,7 @@
         self.routes = routes
         self.versions = versions
         self.retirements = {retirement.name: retirement for retirement in retirements}
-        self.lines: dict[str, int] = {}  # of retirements
+        self.retirement_lines: dict[str, int] = {}  # of retirements
         self.oldest = versions[0] if versions else ""
         self.patterns: dict[Pattern, ClaimedRanges] = {}
         for route in routes:
@@ -119,13 +119,13 @@
     judged([lambda: check_file(reading, file)])
     if reading.faults:
         return None, sorted(set(reading.faults))
-    table = RouteTable(routes_of(reading, file), file.versions, file.retirement)
+    table = RouteTable(build_routes(reading, file), file.versions, file.retirement)
     for n, retirement in enumerate(file.retirement):
-        table.lines[retirement.name] = reading.key_lines.line_of(("retirement", n))
+        table.retirement_lines[retirement.name] = reading.key_lines.line_of(("retirement", n))
     return table, []
 
 
-def routes_of(reading: DocumentReader, file: Routes) -> list[Route]:
+def build_routes(reading: DocumentReader, file: Routes) -> list[Route]:
     """Returns the rules of a file without fault."""
     return [
         Route(n, reading.key_lines.line_of(("rule", n)), rule, parse_ranges(rule.keys) or ())
--- a/brambleplank/fleet/routing/rule_sets.py
+++ b/brambleplank/fleet/routing/rule_sets.py
@@ -11,7 +11,7 @@
 from brambleplank.fleet.routing.route_table import Route
 
 
-def members_of(rules: int) -> Iterator[int]:
+def rule_numbers(rules: int) -> Iterator[int]:
     """Yields the numbers of the rules in a set, the lowest first."""
     while rules:
         lowest = rules & -rules
@@ -19,58 +19,59 @@
         yield lowest.bit_length() - 1
 
 
-def set_of(numbers: Iterable[int]) -> int:
+def rule_set(numbers: Iterable[int]) -> int:
     """Returns the set of the rules with these numbers, none of them twice."""
     return sum(1 << n for n in numbers)
 
 
-class ValueSets:
+class ValueIndex:
     """For one dimension of a rule, such as its customers: which rules name each value."""
 
     def __init__(self, named: list[list[str]]) -> None:
         """`named`: the values that each rule names; none mean all values."""
         self.named = named
-        self.any = set_of(n for n, values in enumerate(named) if not values)  # rules that match all values
-        self.single = set_of(n for n, values in enumerate(named) if len(values) == 1)
+        # Rules that name no value, and so match all; rules that name exactly one.
+        self.match_all = rule_set(n for n, values in enumerate(named) if not values)
+        self.single_valued = rule_set(n for n, values in enumerate(named) if len(values) == 1)
         self.by_value: dict[str, int] = {}
         for n, values in enumerate(named):
             for value in values:
                 self.by_value[value] = self.by_value.get(value, 0) | 1 << n
-        self.all_named = ((1 << len(named)) - 1) & ~self.any  # rules that name any
+        self.restricted = ((1 << len(named)) - 1) & ~self.match_all  # rules that name any
 
-    def meet(self, n: int) -> int:
+    def overlapping(self, n: int) -> int:
         """Returns the rules that share a value with this one."""
         if not self.named[n]:
-            return self.any | self.all_named
-        found = self.any
+            return self.match_all | self.restricted
+        found = self.match_all
         for value in self.named[n]:
             found |= self.by_value[value]
         return found
 
-    def hold(self, n: int) -> int:
+    def containing(self, n: int) -> int:
         """Returns the rules that have every value of this one."""
         if not self.named[n]:
-            return self.any
+            return self.match_all
         found = -1
         for value in self.named[n]:
             found &= self.by_value[value]
-        return found & self.all_named | self.any
+        return found & self.restricted | self.match_all
 
-    def lie_in(self, n: int) -> int:
+    def contained_in(self, n: int) -> int:
         """Returns the rules every value of which this one has."""
         if not self.named[n]:
-            return self.any | self.all_named
+            return self.match_all | self.restricted
         values = set(self.named[n])
         found = 0
         for value in values:
             found |= self.by_value[value]
-        for other in members_of(found & ~self.single):
+        for other in rule_numbers(found & ~self.single_valued):
             if not values.issuperset(self.named[other]):  # it names others too
                 found ^= 1 << other
         return found
 
 
-class KeySets:
+class KeyIndex:
     """The same for ranges of keys, by the outermost keys of each rule."""
 
     def __init__(self, routes: list[Route]) -> None:
@@ -78,35 +79,36 @@
             portion.Interval(*(portion.closedopen(first, last + 1) for first, last in route.ranges))
             for route in routes
         ]
-        self.simple = [route.ranges[0] if len(route.ranges) == 1 else None for route in routes]
-        self.all_simple = set_of(n for n, simple in enumerate(self.simple) if simple)
+        self.single_range = [route.ranges[0] if len(route.ranges) == 1 else None for route in routes]
+        self.with_single_range = rule_set(n for n, only in enumerate(self.single_range) if only)
         self.hulls = [KeyRange(route.ranges[0].first, route.ranges[-1].last) for route in routes]
-        self.full = set_of(n for n, simple in enumerate(self.simple) if simple == ALL_KEYS)
-        narrow = [n for n in range(len(routes)) if not self.full >> n & 1]
+        self.with_all_keys = rule_set(n for n, only in enumerate(self.single_range) if only == ALL_KEYS)
+        narrow = [n for n in range(len(routes)) if not self.with_all_keys >> n & 1]
         self.starts, self.by_start = prefix_sets(sorted((self.hulls[n].first, n) for n in narrow))
         self.ends, self.by_end = prefix_sets(sorted((self.hulls[n].last, n) for n in narrow))
 
-    def hulls_meet(self, n: int) -> int:
+    def overlapping_hulls(self, n: int) -> int:
         """Returns the rules whose outermost keys enclose some key of this one's."""
         hull = self.hulls[n]
-        begun = self.by_start[bisect_right(self.starts, hull.last)]
-        over = self.by_end[bisect_left(self.ends, hull.first)]
-        return self.full | begun & ~over
+        started = self.by_start[bisect_right(self.starts, hull.last)]
+        ended = self.by_end[bisect_left(self.ends, hull.first)]
+        return self.with_all_keys | started & ~ended
 
-    def meet(self, n: int, candidates: int) -> int:
+    def overlapping(self, n: int, candidates: int) -> int:
         """Returns, of rules whose hulls meet this one's, those that share a key with it."""
-        if self.simple[n] and not candidates & ~self.all_simple:
+        if self.single_range[n] and not candidates & ~self.with_single_range:
             return candidates
-        return set_of(
+        return rule_set(
             other
-            for other in members_of(candidates)
-            if (self.simple[n] and self.simple[other]) or not (self.ranges[n] & self.ranges[other]).empty
+            for other in rule_numbers(candidates)
+            if (self.single_range[n] and self.single_range[other])
+            or not (self.ranges[n] & self.ranges[other]).empty
         )
 
     def encloses(self, other: int, n: int) -> bool:
         """Returns whether the other rule has all keys of this one."""
-        outer = self.simple[other]
-        inner = self.simple[n]
+        outer = self.single_range[other]
+        inner = self.single_range[n]
         if inner and outer:
             return outer.first <= inner.first and inner.last <= outer.last
         return self.ranges[n] in self.ranges[other]
--- a/brambleplank/fleet/routing/rules.py
+++ b/brambleplank/fleet/routing/rules.py
@@ -6,8 +6,7 @@
 
 import msgspec
 
-from brambleplank.fleet.retirement.plan import Retirement
-from brambleplank.fleet.retirement.plan import judge as judge_timeline
+from brambleplank.fleet.retirement.plan import Retirement, check_retirement
 from brambleplank.fleet.routing.key_ranges import parse_ranges
 from brambleplank.tables import DocumentReader, KeyPath, Seconds, judged, of
 
@@ -87,7 +86,7 @@
             ("versions",), "a version is empty or there twice", "write each once, the oldest first"
         )
     for n, retirement in enumerate(file.retirement):
-        judged([lambda n=n, retirement=retirement: judge_timeline(reading, n, retirement)])  # type: ignore[misc]
+        judged([lambda n=n, retirement=retirement: check_retirement(reading, n, retirement)])  # type: ignore[misc]
         if any(retirement.name == other.name for other in file.retirement[:n]):
             twice = f'"{retirement.name}" stands twice'
             reading.add_fault(("retirement", n, "name"), twice, "write each name once")
