--- a/brambleplank/fleet/routing/__init__.py
+++ b/brambleplank/fleet/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The route table of a fleet: rules, lint, the table in force, and the admission of requests by it."""
+"""The route table of a fleet: its rules, their lint, the table in force, and admission of requests by it."""
--- a/brambleplank/fleet/routing/active_routes.py
+++ b/brambleplank/fleet/routing/active_routes.py
@@ -1,7 +1,7 @@
-"""The route table in force at one process: its file, its lint, its versions. Free of I/O.
+"""The route table in force at one process, and publication of a changed file to the fleet. Free of I/O.
 
-`work` runs a function that takes long (a table of thousands is read in a second) and calls back with its
-result; the carrier does so in a thread.
+Reading a table of thousands of rules takes a second. `run_in_background` runs such a function and calls back
+with its result; the host does so in a thread.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 from brambleplank.fleet.versions.identity import AgreementCallbacks
 from brambleplank.fleet.versions.texts import digest_of
 
-TEXT_KIND = 0  # of text, in messages
-STARTUP_WAIT = 3 * HEARTBEAT_INTERVAL  # seconds that a start asks the others which version is in force
+TEXT_KIND = 0  # of route tables, in messages of version agreements
+STARTUP_WAIT = 3 * HEARTBEAT_INTERVAL  # seconds that a starting process waits for the version in force
 MAX_STORED_TABLES = 4
-MAX_LOGGED_LINES = 8  # findings that are logged one by one
+MAX_LOGGED_LINES = 8  # faults and findings of one text
 
 RunInBackground = Callable[[Callable[[], Any], Callable[[Any], None]], None]
 
 
 @dataclass(frozen=True)
 class LintedTable:
-    """What reading and linting a text came to."""
+    """The result of reading and linting a text."""
 
-    table: route_table.RouteTable | None  # None: the text has faults
+    table: route_table.RouteTable | None  # None if the text has faults
     faults: list[str]
     findings: list[Finding]
 
     @property
     def objections(self) -> list[str]:
-        """What keeps the table from being published."""
+        """Faults, or else findings, that prevent publication of the table."""
         return self.faults or [str(finding) for finding in self.findings if finding.objects]
 
 
@@ -49,7 +49,7 @@
 
 
 class ActiveRoutes:
-    """`known` gives what this process knows, when asked; whether for a table that it has not seen."""
+    """The route table in force at this process."""
 
     def __init__(
         self,
@@ -59,7 +59,11 @@
         text: bytes,
         log: Callable[[str], Any],
     ) -> None:
-        """`text` is this process's file. Raises RouteTableError if it has a fault."""
+        """Reads the file of this process, given as `text`. Raises RouteTableError if it has a fault.
+
+        `lint_context` returns the context for a lint; its argument says whether the table is new, so that its
+        dates are checked against the clock.
+        """
         self.fleet = fleet
         self.lint_context = lint_context
         self.run_in_background = run_in_background
@@ -70,8 +74,8 @@
             raise RouteTableError(f"{faults[0]}{more}")
         self.table = table
         self.started_at = fleet.identity.began
-        self.tables: dict[int, route_table.RouteTable] = {}  # prepared, by the digests of their texts
-        self.uses_own_file = False  # whether no member said which version is in force
+        self.tables: dict[int, route_table.RouteTable] = {}  # prepared tables, by the digests of their texts
+        self.uses_own_file = False  # whether it has stopped waiting for the version in force
         self.agreement = VersionAgreement(
             fleet.agreement_identity(TEXT_KIND, "routes"),
             AgreementCallbacks(fleet.send, self.review, self.apply, log),
@@ -82,7 +86,11 @@
         run_in_background(lambda: lint(table, self.lint_context(False)), self.log_lines)
 
     def is_ready(self, now: float) -> bool:
-        """Returns whether requests may be taken. To wait for ever would cost more than an old file does."""
+        """Returns whether requests may be served.
+
+        Without an answer of other members, the process serves by its own file: an outdated file does less
+        harm than a process that never starts to serve.
+        """
         if self.agreement.version or self.uses_own_file:
             return True
         if now >= self.started_at + STARTUP_WAIT:
@@ -91,18 +99,18 @@
         return self.uses_own_file
 
     def find(self, service_type: str, customer: str, version: str, key: int) -> route_table.Route | None:
-        """Returns the rule that decides; None: the request is served as if there were no table."""
+        """Returns the rule that decides a request; None if no rule matches, and the request is served."""
         return self.table.find(service_type, customer, version, key)
 
     def log_lines(self, lines: Sequence[object]) -> None:
-        """Logs the first of these faults and findings."""
+        """Logs the first faults and findings of a text."""
         for line in lines[:MAX_LOGGED_LINES]:
             self.log(f"routes: {line}")
 
     # Publishing.
 
     def publish(self, now: float, text: bytes) -> None:  # noqa: ARG002
-        """Offers a changed file to the fleet, unless something is wrong with it."""
+        """Requests publication of a changed file, unless it has faults or objections."""
         digest = digest_of(text)
         if digest == self.agreement.digest:
             return
@@ -126,7 +134,7 @@
         return LintedTable(table, [], lint(table, self.lint_context(first_sight)))
 
     def store_table(self, digest: int, table: route_table.RouteTable) -> None:
-        """Stores a prepared table, and drops the oldest beyond the limit."""
+        """Stores a prepared table, and drops the oldest ones beyond the limit."""
         self.tables[digest] = table
         while len(self.tables) > MAX_STORED_TABLES:
             del self.tables[next(old for old in self.tables if old not in (digest, self.agreement.digest))]
@@ -134,7 +142,7 @@
     # Called by the agreement.
 
     def review(self, digest: int, text: bytes, done: Callable[[str], None]) -> None:
-        """Reads and lints a proposed text, and calls back with the first objection."""
+        """Reads and lints a proposed text, and calls back with the first objection, or ""."""
 
         def finish(linted: LintedTable) -> None:
             if linted.table is not None:
@@ -144,7 +152,7 @@
         self.run_in_background(lambda: self.read_and_lint(text, False), finish)
 
     def apply(self, version: int, digest: int) -> None:
-        """Puts the prepared table of a version in force."""
+        """Puts the table of a version in force, which the review has prepared."""
         table = self.tables.get(digest)
         if table is None:
             self.log(f"routes: version {version} cannot be read here; the table before stays in use")
@@ -153,7 +161,7 @@
 
 
 def requests_counted(fleet: FleetMember) -> set[tuple[str, str, str]]:
-    """Returns the service types, customers and versions of requests that any process has counted."""
+    """Returns the combinations of service type, customer and version of which a member counted a request."""
     counts = {**fleet.counts.fleet, **fleet.counts.own}
     found = (key.split("/") for key, totals in counts.items() if totals[CountKind.OFFERED])
     return {(parts[0], parts[1], parts[2]) for parts in found if len(parts) == 3}
--- a/brambleplank/fleet/routing/admission.py
+++ b/brambleplank/fleet/routing/admission.py
@@ -1,4 +1,4 @@
-"""Which budgets a request needs, and whether it may have them: all of them or none. Free of I/O."""
+"""Admission of requests by route table, retirements and budgets, which are taken all or none. Free of I/O."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from brambleplank.fleet.routing.route_table import Route
 from brambleplank.fleet.shapes import REQUEST_BUDGETS, BudgetTable
 
-MAX_LOGGED_WARNINGS = 256  # retirements and customers that are named in the log
+MAX_LOGGED_WARNINGS = 256  # pairs of a retirement and a customer, each of which is logged once
 
 
 class AdmissionDecision(NamedTuple):
-    """Whether a new request may go on."""
+    """Whether a new request is admitted."""
 
     admitted: bool
-    retry_after: float | None = None  # seconds until a client that a rule refuses should come again
+    retry_after: float | None = None  # seconds; for a refusal by a rule or a retirement
 
 
 ADMITTED = AdmissionDecision(True)
@@ -29,7 +29,7 @@
 
 
 class BudgetAccount(NamedTuple):
-    """A budget of the fleet's table, and this process's part of it."""
+    """A budget of the fleet's table, and this process's account of it."""
 
     table: BudgetTable
     account: Account
@@ -37,19 +37,19 @@
 
 @dataclass
 class AdmittedRequest:
-    """A request that was let in, until it ends."""
+    """An admitted request, until it ends."""
 
     service_type: str
     customer: str
     version: str
-    caller: str = ""  # its group or key, by which a retirement knows it
-    notice: str = ""  # what it is told of its end, if it asks
-    open_units: list[Account] = field(default_factory=list)  # counts that it holds a unit of
-    served: bool = False
+    caller: str = ""  # its group or key, which gives its position among the callers of a retirement
+    notice: str = ""  # of a retirement, for a client that asked for notices
+    open_units: list[Account] = field(default_factory=list)  # accounts of which it holds a unit
+    served: bool = False  # whether its session is established
 
 
 class RequestAdmission:
-    """Admits requests; a `flow` is whatever the carrier knows a request by."""
+    """Admits requests; a `handle` is whatever identifies a request in its host."""
 
     def __init__(
         self,
@@ -59,12 +59,12 @@
         retirement_progress: RetirementProgress | None = None,
         notices: bool = False,
     ) -> None:
-        """`notices`: whether clients may be told of a retirement."""
+        """`notices`: whether clients may be sent notices of retirements."""
         self.fleet = fleet
         self.active_routes = active_routes
         self.retirement_progress = retirement_progress
         self.notices = notices
-        self.warned: set[tuple[str, str]] = set()  # retirements and customers that the log names already
+        self.warned: set[tuple[str, str]] = set()  # retirement and customer of each warning logged
         self.budgets = [BudgetAccount(table, fleet.account(table.name)) for table in tables]
         self.requests: dict[Any, AdmittedRequest] = {}
 
@@ -78,7 +78,7 @@
         key: int,
         group: int | None,
     ) -> AdmissionDecision:
-        """Decides on a new request; what it needs is taken, all or nothing."""
+        """Decides on a new request; a unit of each budget that it needs is taken, or of none."""
         request = self.new_request(service_type, customer, version, key, group)
         self.count(CountKind.OFFERED, request)
         route = None
@@ -97,14 +97,14 @@
     def new_request(
         self, service_type: str, customer: str, version: str, key: int, group: int | None
     ) -> AdmittedRequest:
-        """Returns the record of a request; one that names no version is of the oldest."""
+        """Returns the record of a request; without a version it counts as of the oldest one."""
         caller = f"k{key}" if group is None else f"g{group}"
         if not version and self.active_routes is not None:
             version = self.active_routes.table.oldest
         return AdmittedRequest(service_type, customer, version, caller)
 
     def decide_by_rule(self, now: float, route: Route, request: AdmittedRequest) -> AdmissionDecision:
-        """Decides by the rule that matches, before budgets are looked at."""
+        """Decides by the rule that matches, before the budgets are checked."""
         if route.rule.does == "refuse":
             self.count(CountKind.REFUSED, request)
             return AdmissionDecision(False, route.rule.come_back)
@@ -117,7 +117,7 @@
     def decide_by_retirement(
         self, now: float, progress: RetirementProgress, retirement: Retirement, request: AdmittedRequest
     ) -> AdmissionDecision:
-        """Turns a caller away, or warns it, as far as its retirement is."""
+        """Turns a caller away or warns it, by the step in force of its retirement."""
         if progress.turns_away(now, retirement, request.customer, request.caller):
             self.count(CountKind.SHED, request)
             return AdmissionDecision(False, retirement.come_back)
@@ -126,7 +126,7 @@
         return ADMITTED
 
     def required_budgets(self, route: Route | None, request: AdmittedRequest) -> list[BudgetAccount]:
-        """Returns the budgets that a request needs a unit of."""
+        """Returns the budgets of which a request needs a unit."""
         needed = [
             budget
             for budget in self.budgets
@@ -140,7 +140,7 @@
         return needed
 
     def take_units(self, now: float, needed: list[BudgetAccount], request: AdmittedRequest) -> bool:
-        """Takes a unit of each of these budgets for a request, if all have one."""
+        """Takes a unit of each of these budgets for a request, if all have one left."""
         if not self.have_units(now, [budget.account for budget in needed]):
             return False
         for budget in needed:
@@ -150,14 +150,14 @@
         return True
 
     def have_units(self, now: float, accounts: list[Account]) -> bool:
-        """Returns whether all of these accounts have a unit; leases are requested for those that have not."""
+        """Returns whether all accounts have a unit left; a lease is requested for those that have none."""
         short = [account for account in accounts if not account.free(now)]
         for account in short:
             self.fleet.missed(now, account)
         return not short
 
     def warn(self, retirement: Retirement, request: AdmittedRequest) -> None:
-        """Counts the caller; its customer is named in the log once."""
+        """Counts a warned caller, sets its notice, and logs its customer once for each retirement."""
         self.count(CountKind.WARNED, request)
         successor = "/".join(
             part for part in (retirement.successor_type, retirement.successor_version) if part
@@ -173,12 +173,12 @@
             self.fleet.log(f"retirement {retirement.name}: {who} still comes; ends {ended:%Y-%m-%d %H:%M}")
 
     def retirement_notice(self, handle: Any) -> str:
-        """Returns what a client that asked for it is told once its session is established."""
+        """Returns the notice for a client that asked for notices, sent once its session is established."""
         request = self.requests.get(handle)
         return request.notice if request else ""
 
     def sessions_to_migrate(self, now: float) -> list[Any]:
-        """Returns sessions with what has ended that are to be migrated in this second."""
+        """Returns the sessions of ended service types and versions to migrate in this second."""
         found: list[Any] = []
         if self.retirement_progress is None or self.active_routes is None:
             return found
@@ -200,7 +200,7 @@
     def adopt(
         self, handle: Any, service_type: str, customer: str, version: str, key: int, group: int | None
     ) -> None:
-        """Adopts a session from before this process began, whatever the budgets say."""
+        """Adopts a session that began before this process, even beyond the budgets."""
         request = self.new_request(service_type, customer, version, key, group)
         request.served = True
         self.requests[handle] = request
@@ -210,7 +210,7 @@
                 request.open_units.append(account)
 
     def allow_further_attempt(self, now: float, handle: Any) -> bool:
-        """Returns whether a request may have another attempt; if so, it is counted."""
+        """Returns whether a request may have another attempt; if so, takes a unit of each budget for it."""
         request = self.requests.get(handle)
         if request is None:
             return True
@@ -224,14 +224,14 @@
         return all(self.fleet.take(now, account.budget.name) for account in needed)
 
     def request_established(self, handle: Any) -> None:
-        """Counts a request as established, once."""
+        """Counts a request as served, once, when its session is established."""
         request = self.requests.get(handle)
         if request and not request.served:
             request.served = True
             self.count(CountKind.SERVED, request)
 
     def request_ended(self, handle: Any, rejected: bool) -> None:
-        """Forgets a request that has its final answer, and gives back what it holds."""
+        """Removes a request that has its final answer, and releases the units that it holds."""
         request = self.requests.pop(handle, None)
         if request is None:
             return
@@ -241,5 +241,5 @@
             account.release()
 
     def count(self, kind: CountKind, request: AdmittedRequest) -> None:
-        """Counts a request."""
+        """Counts a request under its service type, customer and version."""
         self.fleet.counts.note(kind, request.service_type, request.customer, request.version)
--- a/brambleplank/fleet/routing/key_ranges.py
+++ b/brambleplank/fleet/routing/key_ranges.py
@@ -1,4 +1,4 @@
-"""Ranges of keys: as a file writes them, and as disjoint pieces that know the first rule to claim them."""
+"""Ranges of keys: their parser, and disjoint ranges that each belong to the first rule that claimed them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class KeyRange(NamedTuple):
-    """Keys from the first to the last, both included."""
+    """The keys from the first to the last, inclusive."""
 
     first: int
     last: int
@@ -21,14 +21,14 @@
 
 
 class Claim(NamedTuple):
-    """A rule that has a key, and the last key up to which it does."""
+    """The rule that claims a key, and the last key of the range that it claims there."""
 
     rule: int
     last: int
 
 
 class ClaimedRanges:
-    """Disjoint ranges of keys in order, each with the rule that claimed it first."""
+    """Disjoint ranges of keys in ascending order, each with the first rule that claimed it."""
 
     def __init__(self) -> None:
         self.starts: list[int] = []
@@ -36,7 +36,7 @@
         self.rules: list[int] = []
 
     def claim(self, first: int, last: int, rule: int) -> None:
-        """Gives a rule what no earlier one has of a range."""
+        """Assigns the unclaimed parts of a range to a rule."""
         index = bisect_right(self.starts, first)
         if index and self.ends[index - 1] >= first:
             first = self.ends[index - 1] + 1
@@ -50,7 +50,10 @@
             index += 1
 
     def fill_gap(self, index: int, gap: KeyRange, rule: int) -> bool:
-        """Gives a rule a gap before the piece at an index. Returns whether that took a piece of its own."""
+        """Assigns a gap before the range at an index to a rule. Returns whether a range was inserted.
+
+        None is where the rule also has the range just before the gap, which is extended instead.
+        """
         if index and self.rules[index - 1] == rule and self.ends[index - 1] == gap.first - 1:
             self.ends[index - 1] = gap.last
             return False
@@ -60,7 +63,7 @@
         return True
 
     def find(self, key: int) -> Claim | None:
-        """Returns the rule that has a key, and how far; None if no rule has it."""
+        """Returns the claim on a key, or None."""
         index = bisect_right(self.starts, key) - 1
         if index < 0 or key > self.ends[index]:
             return None
@@ -68,7 +71,10 @@
 
 
 def parse_ranges(texts: list[str]) -> tuple[KeyRange, ...] | None:
-    """Returns ranges of keys, joined and in order; None if one is no range. No texts mean all keys."""
+    """Parses ranges of keys; returns them merged and in order, or None if one is malformed.
+
+    An empty list means all keys.
+    """
     if not texts:
         return (ALL_KEYS,)
     joined = portion.empty()
@@ -81,7 +87,7 @@
 
 
 def parse_range(text: str) -> KeyRange | None:
-    """Returns one range, as `00-7f` or a single key; None if it is none."""
+    """Parses one range, such as `00-7f`, or a single key; returns None if it is malformed."""
     first, _, last = text.partition("-")
     try:
         parsed = KeyRange(int(first, 16), int(last or first, 16))
--- a/brambleplank/fleet/routing/lint.py
+++ b/brambleplank/fleet/routing/lint.py
@@ -1,9 +1,9 @@
-"""Finds rules of a route table that can never decide, or that contradict each other.
+"""Finds rules of a route table that can never decide a request, or that contradict each other.
 
-A rule's region is a product: service types x customers x versions x ranges of keys. Sets of rules are whole
-numbers, so that "all earlier rules that meet this one" is a few operations on large numbers; only where
-several earlier rules may together cover a rule is each distinct kind of request looked at. So findings are
-exact. Free of I/O.
+The requests that a rule matches are a product: service types x customers x versions x ranges of keys. Sets of
+rules are integers with one bit for each rule, so that a few operations on large integers find all earlier
+rules that overlap a rule. Whether several earlier rules together cover a rule is checked for each combination
+of values, so findings are exact. Free of I/O.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 __all__ = ["Finding", "LintContext", "lint"]
 
-ANOTHER_VALUE = "\0"  # one that no rule names
-ANY = "any"  # in an example: not named
-MAX_RULES_NAMED = 4  # of those that shadow a rule
+ANOTHER_VALUE = "\0"  # stands for the values that no rule names
+ANY = "any"  # in an example: no particular value
+MAX_RULES_NAMED = 4  # in one finding, of the rules that shadow another
 
 
 def lint(table: RouteTable, context: LintContext) -> list[Finding]:
-    """Returns everything that is wrong with a table, by line."""
+    """Returns all findings of a table, by line."""
     findings = FindingList()
     if table.routes:
         names = NameLint(table, context, findings)
@@ -41,7 +41,7 @@
 
 
 class NameLint:
-    """Finds rules that name what nothing in the fleet has."""
+    """Finds rules that name something that does not exist in the fleet."""
 
     def __init__(self, table: RouteTable, context: LintContext, findings: FindingList) -> None:
         self.table = table
@@ -70,11 +70,11 @@
             self.check_counted(route)
 
     def add_unreachable(self, route: Route, wrong: str, instead: str) -> None:
-        """Adds a finding of a rule that names what is not there."""
+        """Adds a finding of a rule that names something that does not exist."""
         self.findings.add(route, FindingKind.UNREACHABLE, wrong, instead)
 
     def check_budget(self, route: Route) -> None:
-        """Looks for a budget that is not there, or has nothing to lend."""
+        """Checks that the budget of a rule exists, and that its reserves leave something to lease."""
         name = route.rule.budget
         if name and name not in self.context.budgets:
             names = ", ".join(self.context.budgets) or "none is there"
@@ -85,7 +85,7 @@
             self.findings.add(route, FindingKind.CONTRADICTORY, wrong, instead)
 
     def check_counted(self, route: Route) -> None:
-        """Looks whether any process has counted a request that a rule by customer or version matches."""
+        """Checks that some member has counted a request that a rule by customer or version matches."""
         rule = route.rule
         if self.context.requests_counted is None or not (rule.customer or rule.version):
             return
@@ -96,12 +96,12 @@
 
 
 def first_unknown(values: Collection[str], known: Collection[str]) -> str | None:
-    """Returns the first of these values that is not known."""
+    """Returns the first of the values that is not among the known ones, or None."""
     return next((value for value in values if value not in known), None)
 
 
 def matches(rule: Rule, service_type: str, customer: str, version: str) -> bool:
-    """Returns whether a rule matches such requests, by some of its keys."""
+    """Returns whether a rule matches such requests, for some keys at least."""
     return (
         (not rule.service_type or service_type in rule.service_type)
         and (not rule.customer or customer in rule.customer)
@@ -110,7 +110,7 @@
 
 
 class OverlapLint:
-    """Finds rules that earlier ones shadow or contradict."""
+    """Finds rules that are shadowed or contradicted by earlier ones."""
 
     def __init__(self, table: RouteTable, context: LintContext, findings: FindingList) -> None:
         self.table = table
@@ -121,13 +121,13 @@
         self.customers = ValueIndex([list(route.rule.customer) for route in self.routes])
         self.versions = ValueIndex([list(route.rule.version) for route in self.routes])
         self.keys = KeyIndex(self.routes)
-        self.outcomes: dict[tuple[str, str], int] = {}  # which rules have each outcome
+        self.outcomes: dict[tuple[str, str], int] = {}  # the set of rules with each outcome
         for n, route in enumerate(self.routes):
             outcome = route.rule.outcome()
             self.outcomes[outcome] = self.outcomes.get(outcome, 0) | 1 << n
 
     def check(self, route: Route) -> None:
-        """Adds a finding of one rule, if earlier ones take all of it or decide a part of it otherwise."""
+        """Adds a finding if earlier rules decide all requests of a rule, or contradict it for some."""
         overlapping = self.earlier_overlapping(route.number)
         if not overlapping:
             return
@@ -138,7 +138,7 @@
             self.check_contradictions(route, overlapping)
 
     def earlier_overlapping(self, n: int) -> int:
-        """Returns the set of earlier rules that match some request which this one matches."""
+        """Returns the set of earlier rules that match some request that the rule matches."""
         earlier = (1 << n) - 1
         overlapping = (
             earlier & self.types.overlapping(n) & self.customers.overlapping(n) & self.versions.overlapping(n)
@@ -146,21 +146,26 @@
         return self.keys.overlapping(n, overlapping & self.keys.overlapping_hulls(n))
 
     def covering_rules(self, route: Route) -> list[int]:
-        """Returns the earlier rules that together take all of this one, or none."""
+        """Returns the earlier rules that together decide all requests of a rule; empty if any is left."""
         rule = route.rule
         another = [ANOTHER_VALUE]
-        # What takes a value that no rule names takes every value; where all are known, each is looked at.
-        found = self.taken(
+        # Earlier rules that cover a value that no rule names cover every value. Otherwise, where all values
+        # are known, each is checked.
+        found = self.covering_rules_for(
             route, rule.service_type or another, rule.customer or another, rule.version or another
         )
         if found:
             return found
         types = rule.service_type or list(self.context.service_types)
         customers = rule.customer or list(self.context.customers) or another
-        return self.taken(route, types, customers, rule.version or self.table.versions or another)
+        return self.covering_rules_for(
+            route, types, customers, rule.version or self.table.versions or another
+        )
 
-    def taken(self, route: Route, types: list[str], customers: list[str], versions: list[str]) -> list[int]:
-        """Returns the earlier rules that take all keys of this one for all these values, or none."""
+    def covering_rules_for(
+        self, route: Route, types: list[str], customers: list[str], versions: list[str]
+    ) -> list[int]:
+        """Returns the earlier rules that decide all keys of a rule for these values; empty if any is left."""
         taken: set[int] = set()
         for service_type, customer, version in product(types, customers, versions):
             for first, last in route.ranges:
@@ -174,7 +179,7 @@
         return sorted(taken)
 
     def add_shadowed(self, route: Route, others: list[int]) -> None:
-        """Adds the finding that other rules take all of one."""
+        """Adds the finding that other rules shadow a rule."""
         first = self.routes[others[0]]
         labels = ", ".join(self.routes[n].label for n in others[:MAX_RULES_NAMED])
         more = " and more" if len(others) > MAX_RULES_NAMED else ""
@@ -187,9 +192,9 @@
         )
 
     def check_contradictions(self, route: Route, overlapping: int) -> None:
-        """Looks for an earlier rule that decides a part of this one otherwise, neither inside nor round it.
+        """Adds a finding for the first earlier rule that partly overlaps a rule and has another outcome.
 
-        One is named for a rule; once that is mended, the next is found.
+        A rule that encloses or is enclosed by the other is an exception or a default, and no contradiction.
         """
         n = route.number
         inside = self.types.contained_in(n) & self.customers.contained_in(n) & self.versions.contained_in(n)
@@ -206,7 +211,7 @@
             return
 
     def add_contradictory(self, route: Route, earlier: Route) -> None:
-        """Adds the finding that an earlier rule decides a part of one otherwise."""
+        """Adds the finding that an earlier rule contradicts a rule for some requests."""
         self.findings.add(
             route,
             FindingKind.CONTRADICTORY,
@@ -216,7 +221,7 @@
         )
 
     def example(self, route: Route, other: Route | None = None) -> str:
-        """Returns a request that one or both rules match."""
+        """Returns a request that the rule, and the other one if given, match."""
         rule = route.rule
         theirs = other.rule if other else Rule("serve")
         service_type = common_value(rule.service_type, theirs.service_type, self.context.service_types)
@@ -232,6 +237,6 @@
 
 
 def common_value(own: list[str], theirs: list[str], defaults: Collection[str]) -> str:
-    """Returns a value that two rules match; `usual` are values to choose of where neither names any."""
+    """Returns a value that two rules match; the first of `defaults` if neither names any."""
     both = [value for value in own if not theirs or value in theirs] or theirs
     return both[0] if both else next(iter(defaults), ANY)
--- a/brambleplank/fleet/routing/retirement_lint.py
+++ b/brambleplank/fleet/routing/retirement_lint.py
@@ -1,4 +1,4 @@
-"""Finds what is wrong with the timelines of a route table: as a whole, or beside each other."""
+"""Finds problems of the retirements of a route table, alone or in combination."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     """Adds a finding of one retirement."""
 
     def __call__(self, kind: FindingKind, wrong: str, instead: str) -> None:
-        """Takes what is wrong, and what to write instead."""
+        """Adds a finding with a problem and its remedy."""
 
 
 class RetirementLint:
-    """The retirements of one table, held against what one process knows."""
+    """Checks the retirements of one table against the context of one process."""
 
     def __init__(self, table: RouteTable, context: LintContext, findings: FindingList) -> None:
         self.table = table
@@ -46,7 +46,7 @@
         self.findings.add_unlimited(line, kind, f'retirement "{retirement.name}": {wrong}', instead)
 
     def check_names(self, retirement: Retirement, report: ReportFinding) -> None:
-        """Looks for service types and versions that nobody has."""
+        """Checks that the service types and versions of a retirement exist."""
         listed = self.table.versions
         for service_type, version in (
             (retirement.service_type, retirement.version),
@@ -59,14 +59,14 @@
                 report(FindingKind.UNREACHABLE, f'no version "{version}"', "add it to versions")
 
     def check_budgets(self, retirement: Retirement, report: ReportFinding) -> None:
-        """Looks for budgets that are not there, or are of another kind."""
+        """Checks that the budgets of a retirement exist and are of the right kind."""
         for name, kind in ((retirement.ceiling, "away"), (retirement.moves, "moves")):
             if name and self.context.budget_kinds.get(name) != kind:
                 wrong = f'no budget "{name}" of = "{kind}"'
                 report(FindingKind.UNREACHABLE, wrong, "add it to the fleet's budgets")
 
     def check_timeline(self, retirement: Retirement, report: ReportFinding) -> None:
-        """Looks for steps that would move back what is under way, or are all over."""
+        """Checks that a new timeline is not over, and that a changed one keeps the step in force."""
         progress = self.context.retirement_steps.get(retirement.name)
         if progress is None:
             if self.context.wall_time is not None and retirement.ended.timestamp() <= self.context.wall_time:
@@ -81,7 +81,7 @@
             report(FindingKind.CONTRADICTORY, wrong, "leave the steps that are done")
 
     def check_successor(self, retirement: Retirement, report: ReportFinding) -> None:
-        """Looks for a successor that cannot take over."""
+        """Checks that the successor can replace what is retired."""
         service_type, version = retirement.successor
         if (service_type, version) == (retirement.service_type, retirement.version):
             instead = "write successor_version or successor_type"
@@ -103,7 +103,7 @@
         self.check_chain(retirement, report)
 
     def check_chain(self, retirement: Retirement, report: ReportFinding) -> None:
-        """Looks for successors that are retired as well, and no later."""
+        """Checks that the successor is not retired as well by then, and that successors form no cycle."""
         chain = [retirement]
         while (following := self.retirement_of_successor(chain[-1])) is not None and following not in chain:
             chain.append(following)
@@ -115,13 +115,13 @@
             report(FindingKind.CONTRADICTORY, wrong, "name a successor that stays")
 
     def retirement_of_successor(self, retirement: Retirement) -> Retirement | None:
-        """Returns the retirement of the successor, if that is retired as well."""
+        """Returns the retirement of the successor, or None."""
         others = self.table.retirements.values()
         return next((r for r in others if retirement.successor == (r.service_type, r.version)), None)
 
 
 def matches_all_customers(rule: Rule, service_type: str, version: str) -> bool:
-    """Returns whether a rule matches requests of that service type and version of all customers."""
+    """Returns whether a rule matches requests of that service type and version from all customers."""
     return (
         (not rule.service_type or service_type in rule.service_type)
         and not rule.customer
--- a/brambleplank/fleet/routing/route_table.py
+++ b/brambleplank/fleet/routing/route_table.py
@@ -1,9 +1,9 @@
 """The route table: an ordered list of rules, of which the first that matches a request decides.
 
-A rule matches on service type, customer, version and ranges of keys. Look-up is by the rules' patterns (which
-of the three a rule names), each with its key ranges as disjoint pieces that know their first rule; of the
-patterns that match a request, the earliest rule decides. So ten thousand rules cost a look-up some dictionary
-reads. Free of I/O.
+A rule matches on service type, customer, version and ranges of keys. Each combination of the first three that
+a rule names is a pattern, and each pattern has a list of disjoint key ranges with the first rule that claims
+them. A look-up tries the pattern of each shape in use, at most eight, and takes the earliest rule that it
+finds. With ten thousand rules, it costs a few dictionary reads and binary searches. Free of I/O.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Pattern(NamedTuple):
-    """What a rule names; None: it matches any."""
+    """Values that a rule names; None: any value."""
 
     service_type: str | None
     customer: str | None
@@ -28,7 +28,7 @@
 
 
 class PatternShape(NamedTuple):
-    """Which of the three a pattern names."""
+    """Which of the three values a pattern names."""
 
     service_type: bool
     customer: bool
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Route:
-    """A rule as it is used: its place in the table, its line in the file, its keys as ranges."""
+    """A rule with its index in the table, its line in the file, and its parsed key ranges."""
 
     number: int
     line: int
@@ -46,25 +46,25 @@
 
     @property
     def label(self) -> str:
-        """How findings refer to it."""
+        """The name of the rule in findings."""
         return f'line {self.line} ("{self.rule.name}")' if self.rule.name else f"line {self.line}"
 
     def patterns(self) -> list[Pattern]:
-        """Returns one pattern for each combination of values that the rule names."""
+        """Returns the pattern of each combination of values that the rule names."""
         named = (self.rule.service_type, self.rule.customer, self.rule.version)
         types, customers, versions = (list[str | None](values) or [None] for values in named)
         return [Pattern(*values) for values in product(types, customers, versions)]
 
 
 class RouteTable:
-    """Rules in their order, prepared for look-ups."""
+    """The rules in order, indexed for look-ups."""
 
     def __init__(self, routes: list[Route], versions: list[str], retirements: list[Retirement]) -> None:
-        """`versions` begins with the oldest, which is that of requests that name none."""
+        """`versions` begins with the oldest one, which also applies to requests without a version."""
         self.routes = routes
         self.versions = versions
         self.retirements = {retirement.name: retirement for retirement in retirements}
-        self.retirement_lines: dict[str, int] = {}  # of retirements
+        self.retirement_lines: dict[str, int] = {}  # of the file, by name
         self.oldest = versions[0] if versions else ""
         self.patterns: dict[Pattern, ClaimedRanges] = {}
         for route in routes:
@@ -76,7 +76,7 @@
         self.shapes = list(shapes)
 
     def matching(self, service_type: str, customer: str, version: str) -> Iterator[ClaimedRanges]:
-        """Yields the claimed keys of each pattern that matches."""
+        """Yields the claimed key ranges of each pattern that matches."""
         for shape in self.shapes:
             pattern = Pattern(
                 service_type if shape.service_type else None,
@@ -90,7 +90,7 @@
     def furthest_claim(
         self, service_type: str, customer: str, version: str, key: int, before: int
     ) -> Claim | None:
-        """Returns the rule before that number which has the key and the most keys after it."""
+        """Returns the claim on a key by a rule before `before` that reaches furthest, or None."""
         best: Claim | None = None
         for claimed in self.matching(service_type, customer, version):
             claim = claimed.find(key)
@@ -101,7 +101,7 @@
         return best
 
     def find(self, service_type: str, customer: str, version: str, key: int) -> Route | None:
-        """Returns the rule that decides; None: the request is served as if there were no table."""
+        """Returns the rule that decides a request; None if no rule matches, and the request is served."""
         first = len(self.routes)
         for claimed in self.matching(service_type, customer, version or self.oldest):
             claim = claimed.find(key)
@@ -111,7 +111,7 @@
 
 
 def read(text: str) -> tuple[RouteTable | None, list[Fault]]:
-    """Returns the table of a file, or every fault of it by line and key."""
+    """Reads a file; returns its table, or None and all faults by line and key."""
     reading = DocumentReader(text)
     if reading.is_unreadable:
         return None, reading.faults
@@ -126,7 +126,7 @@
 
 
 def build_routes(reading: DocumentReader, file: Routes) -> list[Route]:
-    """Returns the rules of a file without fault."""
+    """Returns the routes of a file that has no fault."""
     return [
         Route(n, reading.key_lines.line_of(("rule", n)), rule, parse_ranges(rule.keys) or ())
         for n, rule in enumerate(file.rule)
--- a/brambleplank/fleet/routing/rule_sets.py
+++ b/brambleplank/fleet/routing/rule_sets.py
@@ -1,4 +1,4 @@
-"""Sets of rules as whole numbers, one bit a rule, so that set operations cost a few steps for all rules."""
+"""Sets of rules as integers with one bit for each rule, so that set operations on all rules are fast."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def rule_numbers(rules: int) -> Iterator[int]:
-    """Yields the numbers of the rules in a set, the lowest first."""
+    """Yields the numbers of the rules in a set, in ascending order."""
     while rules:
         lowest = rules & -rules
         rules ^= lowest
@@ -20,15 +20,15 @@
 
 
 def rule_set(numbers: Iterable[int]) -> int:
-    """Returns the set of the rules with these numbers, none of them twice."""
+    """Returns the set of the rules with these numbers, which must be distinct."""
     return sum(1 << n for n in numbers)
 
 
 class ValueIndex:
-    """For one dimension of a rule, such as its customers: which rules name each value."""
+    """Relations between rules in one of their dimensions, such as customers."""
 
     def __init__(self, named: list[list[str]]) -> None:
-        """`named`: the values that each rule names; none mean all values."""
+        """`named`: the values that each rule names; an empty list means all values."""
         self.named = named
         # Rules that name no value, and so match all; rules that name exactly one.
         self.match_all = rule_set(n for n, values in enumerate(named) if not values)
@@ -37,10 +37,10 @@
         for n, values in enumerate(named):
             for value in values:
                 self.by_value[value] = self.by_value.get(value, 0) | 1 << n
-        self.restricted = ((1 << len(named)) - 1) & ~self.match_all  # rules that name any
+        self.restricted = ((1 << len(named)) - 1) & ~self.match_all  # rules that name values
 
     def overlapping(self, n: int) -> int:
-        """Returns the rules that share a value with this one."""
+        """Returns the set of rules that match some value of rule `n`."""
         if not self.named[n]:
             return self.match_all | self.restricted
         found = self.match_all
@@ -49,7 +49,7 @@
         return found
 
     def containing(self, n: int) -> int:
-        """Returns the rules that have every value of this one."""
+        """Returns the set of rules that match every value of rule `n`."""
         if not self.named[n]:
             return self.match_all
         found = -1
@@ -58,7 +58,7 @@
         return found & self.restricted | self.match_all
 
     def contained_in(self, n: int) -> int:
-        """Returns the rules every value of which this one has."""
+        """Returns the set of rules all values of which rule `n` matches."""
         if not self.named[n]:
             return self.match_all | self.restricted
         values = set(self.named[n])
@@ -66,13 +66,16 @@
         for value in values:
             found |= self.by_value[value]
         for other in rule_numbers(found & ~self.single_valued):
-            if not values.issuperset(self.named[other]):  # it names others too
+            if not values.issuperset(self.named[other]):  # it also names values that rule `n` does not
                 found ^= 1 << other
         return found
 
 
 class KeyIndex:
-    """The same for ranges of keys, by the outermost keys of each rule."""
+    """Relations between the key ranges of rules; most are found by their hulls.
+
+    The hull of a rule is the range from its first to its last key.
+    """
 
     def __init__(self, routes: list[Route]) -> None:
         self.ranges = [
@@ -88,14 +91,17 @@
         self.ends, self.by_end = prefix_sets(sorted((self.hulls[n].last, n) for n in narrow))
 
     def overlapping_hulls(self, n: int) -> int:
-        """Returns the rules whose outermost keys enclose some key of this one's."""
+        """Returns the set of rules with hulls that overlap the hull of rule `n`."""
         hull = self.hulls[n]
         started = self.by_start[bisect_right(self.starts, hull.last)]
         ended = self.by_end[bisect_left(self.ends, hull.first)]
         return self.with_all_keys | started & ~ended
 
     def overlapping(self, n: int, candidates: int) -> int:
-        """Returns, of rules whose hulls meet this one's, those that share a key with it."""
+        """Returns those of the candidates that match some key of rule `n`.
+
+        The candidates are rules with hulls that overlap the hull of rule `n`.
+        """
         if self.single_range[n] and not candidates & ~self.with_single_range:
             return candidates
         return rule_set(
@@ -106,7 +112,7 @@
         )
 
     def encloses(self, other: int, n: int) -> bool:
-        """Returns whether the other rule has all keys of this one."""
+        """Returns whether the other rule matches all keys of rule `n`."""
         outer = self.single_range[other]
         inner = self.single_range[n]
         if inner and outer:
@@ -114,15 +120,16 @@
         return self.ranges[n] in self.ranges[other]
 
     def first_common(self, n: int, other: int) -> int:
-        """Returns the first key that two rules share."""
+        """Returns the first key that both rules match."""
         lowest: int = (self.ranges[n] & self.ranges[other]).lower
         return lowest
 
 
 def prefix_sets(edges: list[tuple[int, int]]) -> tuple[list[int], list[int]]:
-    """Returns the edges of rules in order, and for each the set of rules that have theirs before it.
+    """Returns the keys of the edges, and for each index the set of the rules of all edges before it.
 
-    `edges` are pairs of a key and a rule's number, in order; the last set holds all of these rules.
+    `edges` are pairs of a key and the number of a rule, in ascending order. There is one set more than edges;
+    the last one contains all of their rules.
     """
     sets = [0]
     for _, n in edges:
--- a/brambleplank/fleet/routing/rules.py
+++ b/brambleplank/fleet/routing/rules.py
@@ -1,4 +1,4 @@
-"""The shape of a file of rules, and what is checked of each of its tables."""
+"""The schema of a file of rules, and the checks of its tables."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     retirement: Annotated[str, of("the retirement that it goes by", '"maps v1"')] = ""
 
     def outcome(self) -> tuple[str, str]:
-        """Returns what it comes to; two rules of one outcome never contradict each other."""
+        """Returns the outcome for a request; rules with the same outcome do not contradict each other."""
         return self.does, self.budget or self.retirement
 
 
@@ -78,7 +78,7 @@
 
 
 def check_file(reading: DocumentReader, file: Routes) -> None:
-    """Adds every fault of a file, by line and key."""
+    """Adds all faults of a file, by line and key."""
     if len(file.rule) > MAX_RULES:
         reading.add_fault(("rule",), f"{len(file.rule)} rules", f"keep {MAX_RULES} at most")
     if len(set(file.versions)) < len(file.versions) or "" in file.versions:
@@ -95,7 +95,7 @@
 
 
 def check_rule(reading: DocumentReader, n: int, rule: Rule) -> None:
-    """Adds every fault of one rule."""
+    """Adds all faults of one rule."""
     at: KeyPath = ("rule", n)
     if parse_ranges(rule.keys) is None:
         reading.add_fault((*at, "keys"), f"no ranges of keys: {rule.keys}", 'write some like "00-7f"')
