--- a/brambleplank/decisions/capacity_shortage.py
+++ b/brambleplank/decisions/capacity_shortage.py
@@ -15,9 +15,9 @@
 class CapacityShortage:
     """Judges the fleet by the available servers of which this proxy has evidence."""
 
-    def __init__(self, context: Context, view: ServerPool) -> None:
+    def __init__(self, context: Context, server_pool: ServerPool) -> None:
         self.context = context
-        self.view = view
+        self.server_pool = server_pool
         self.checked_at = 0.0
         self.overloaded_until = 0.0  # the latest time up to which any server counts as overloaded
         self.is_short = False
@@ -34,7 +34,7 @@
 
     def check(self, now: float) -> None:
         """Judges the fleet anew."""
-        self.view.load.refresh(now)
+        self.server_pool.load.refresh(now)
         self.checked_at = now
         known = self.servers_with_evidence(now) if now < self.overloaded_until else []
         overloaded = sum(now < max(server.slow_until, server.dropping_until) for server in known)
@@ -45,5 +45,5 @@
 
     def servers_with_evidence(self, now: float) -> list[Server]:
         """Returns the available servers that hold connections of this proxy or have dropped some."""
-        available = self.view.endpoints.available
+        available = self.server_pool.endpoints.available
         return [server for server in available if server.connections or now < server.dropping_until]
--- a/brambleplank/decisions/chain.py
+++ b/brambleplank/decisions/chain.py
@@ -27,15 +27,17 @@
 class StageChain:
     """Passes requests down the stages, and what becomes of their attempts back up."""
 
-    def __init__(self, context: Context, view: ServerPool, sessions: Sessions, migration: Migration) -> None:
+    def __init__(
+        self, context: Context, server_pool: ServerPool, sessions: Sessions, migration: Migration
+    ) -> None:
         answers = FinalAnswers(context)
-        self.shortage = CapacityShortage(context, view)
+        self.shortage = CapacityShortage(context, server_pool)
         self.concurrency_limiter = ConcurrencyLimiter(context, self.admit)
         self.deadline = DeadlineStage(context, self.admit, answers, self.concurrency_limiter)
-        self.slow_start = SlowStart(context, self.admit, view, SlowStartBudget(context, view))
-        self.outlier_ejection = OutlierEjection(context, view.endpoints, self.concurrency_limiter)
-        relief = LoadRelief(context, view, self.shortage, migration)
-        self.overload = OverloadDetector(context, view, self.shortage, relief, migration)
+        self.slow_start = SlowStart(context, self.admit, server_pool, SlowStartBudget(context, server_pool))
+        self.outlier_ejection = OutlierEjection(context, server_pool.endpoints, self.concurrency_limiter)
+        relief = LoadRelief(context, server_pool, self.shortage, migration)
+        self.overload = OverloadDetector(context, server_pool, self.shortage, relief, migration)
         later_stages: list[Stage] = [
             DrainStage(context),
             IdempotencyStage(context),
@@ -43,9 +45,9 @@
             self.outlier_ejection,
             self.overload,
             RecoveryRamp(context),
-            Dispatcher(context, view, self.concurrency_limiter, self.outlier_ejection, sessions),
+            Dispatcher(context, server_pool, self.concurrency_limiter, self.outlier_ejection, sessions),
         ]
-        placement = Placement(context, answers, view, self.shortage, later_stages)
+        placement = Placement(context, answers, server_pool, self.shortage, later_stages)
         self.stages: list[Stage] = [self.deadline, self.concurrency_limiter, placement, *later_stages]
 
     def admit(self, now: float, request: Request) -> None:
--- a/brambleplank/decisions/dispatch.py
+++ b/brambleplank/decisions/dispatch.py
@@ -23,13 +23,13 @@
     def __init__(
         self,
         context: Context,
-        view: ServerPool,
+        server_pool: ServerPool,
         limiter: ConcurrencyLimiter,
         outlier_ejection: OutlierEjection,
         sessions: Sessions,
     ) -> None:
         super().__init__(context)
-        self.view = view
+        self.server_pool = server_pool
         self.limiter = limiter
         self.outlier_ejection = outlier_ejection
         self.sessions = sessions
@@ -40,7 +40,7 @@
         request.attempts.append(attempt)
         request.may_have_run = request.may_have_run or attempt
         attempt.server.pending_attempts[attempt] = None
-        self.view.counts.add(attempt.server, 1)
+        self.server_pool.counts.add(attempt.server, 1)
         self.limiter.attempt_started()
         self.host.start_attempt(request, attempt.server, self.max_wait(now, request))
         return True
@@ -67,8 +67,8 @@
         request.resumed = False
         if outcome is AttemptOutcome.LOCAL_FAULT:
             request.local_faults += 1
-        self.view.groups.leave(request)
+        self.server_pool.groups.leave(request)
         attempt.server.pending_attempts.pop(attempt, None)
-        self.view.counts.add(attempt.server, -1)
+        self.server_pool.counts.add(attempt.server, -1)
         if request.may_have_run is attempt and outcome in NEVER_RAN:
             request.may_have_run = None
--- a/brambleplank/decisions/endpoint_list.py
+++ b/brambleplank/decisions/endpoint_list.py
@@ -37,11 +37,11 @@
         """Notes when the first list came."""
         self.first_list_at = now
 
-    def merge(self, now: float, endpoints: list[Endpoint], whole: bool) -> None:
+    def merge(self, now: float, endpoints: list[Endpoint], complete: bool) -> None:
         """Takes in a list, or changes to one. A server that is not in a whole list is removed."""
         named = {endpoint.id for endpoint in endpoints}
         for server in self.servers.values():
-            if whole and server.id not in named:
+            if complete and server.id not in named:
                 set_status(now, server, EndpointStatus.REMOVED)
         for endpoint in endpoints:
             server = self.find_or_add(now, endpoint.id)
@@ -50,7 +50,7 @@
             server.size = endpoint.size
             set_status(now, server, endpoint.status)
             if endpoint.started > server.started:
-                server.restarted(endpoint.started)
+                server.record_restart(endpoint.started)
         self.servers = {server.id: server for server in self.servers.values() if is_kept(server)}
         self.ready = [server for server in self.servers.values() if server.status is EndpointStatus.READY]
         self.total_size = sum(server.size for server in self.servers.values())
@@ -96,7 +96,7 @@
     def failed(self) -> None:
         """Asks for the list again after a pause, so that all proxies together do not overload its service."""
         self.failures = min(self.failures + 1, MAX_COUNTED_FAILURES)
-        longest = self.context.settings.list_poll_within * FIRST_POLL_SHARE * 2**self.failures
+        longest = self.context.settings.max_list_poll_interval * FIRST_POLL_SHARE * 2**self.failures
         pause = longest * self.context.rng.uniform(0.5, 1.0)
         self.context.host.call_later(pause, lambda _: self.context.host.follow_endpoints())
 
--- a/brambleplank/decisions/health_checks.py
+++ b/brambleplank/decisions/health_checks.py
@@ -53,7 +53,7 @@
     def may_probe(self, now: float, server: Server, is_unreported: bool) -> bool:
         """Returns whether this proxy is one to probe the server."""
         settings = self.context.settings
-        if not settings.may_talk_to_peers:
+        if not settings.may_message_peers:
             # Probes of all proxies, each by itself, would push over a server in slow start.
             return server.zone == settings.zone and not self.slow_start.is_in_slow_start(now, server)
         # Without a probe, nobody would see the overload of a server that nobody reports on.
@@ -78,7 +78,7 @@
     def is_worth_reporting(self, now: float, server: Server) -> bool:
         """Returns whether peers are told what this proxy has measured."""
         settings = self.context.settings
-        if not settings.may_talk_to_peers:
+        if not settings.may_message_peers:
             return False
         is_unreported = now >= server.message_time_reported_at + 2 * REPORT_PERIOD
         return server.zone == settings.zone or server.slow_until > now or is_unreported
--- a/brambleplank/decisions/interface.py
+++ b/brambleplank/decisions/interface.py
@@ -156,7 +156,7 @@
     def migrate_all_from(self, now: float, server: GivenServerT) -> None:
         """Migrates the sessions at this server, until a list calls it ready again."""
 
-    def endpoints_received(self, now: float, endpoints: list[Endpoint], whole: bool) -> None:
+    def endpoints_received(self, now: float, endpoints: list[Endpoint], complete: bool) -> None:
         """Takes in the endpoint list, or changes to it. A server not in a whole list is removed."""
 
     def endpoint_list_failed(self, now: float) -> None:
--- a/brambleplank/decisions/load_relief.py
+++ b/brambleplank/decisions/load_relief.py
@@ -19,10 +19,10 @@
     """
 
     def __init__(
-        self, context: Context, view: ServerPool, shortage: CapacityShortage, migration: Migration
+        self, context: Context, server_pool: ServerPool, shortage: CapacityShortage, migration: Migration
     ) -> None:
         self.context = context
-        self.view = view
+        self.server_pool = server_pool
         self.shortage = shortage
         self.migration = migration
 
@@ -49,15 +49,15 @@
         groups = server.requests_by_group
         smallest = min(groups, key=lambda position: (len(groups[position]), position))
         sessions = list(groups[smallest])
-        if len(sessions) <= self.view.counts.mean() / 2 + 1:
+        if len(sessions) <= self.server_pool.counts.mean() / 2 + 1:
             return sessions
-        fair_share = self.view.counts.mean() * server.size / self.view.endpoints.mean_size
+        fair_share = self.server_pool.counts.mean() * server.size / self.server_pool.endpoints.mean_size
         least = 1 if lateness > 1 else 0
         count = max(int(RELIEF_SHARE * (server.connections - fair_share)), least)
         return sessions[-count:] if count else []
 
     def share_to_migrate(self, now: float, lateness: float) -> float:
         """Returns the share of this proxy's connections at the server to migrate on average."""
-        has_aggregate = self.view.load_reports.has_aggregate
+        has_aggregate = self.server_pool.load_reports.has_aggregate
         is_damped = has_aggregate and self.shortage.is_short_of_capacity(now)
         return min(1.0, lateness) * RELIEF_SHARE / (SHORTAGE_FACTOR if is_damped else 1)
--- a/brambleplank/decisions/overload.py
+++ b/brambleplank/decisions/overload.py
@@ -27,13 +27,13 @@
     def __init__(
         self,
         context: Context,
-        view: ServerPool,
+        server_pool: ServerPool,
         shortage: CapacityShortage,
         relief: LoadRelief,
         migration: Migration,
     ) -> None:
         super().__init__(context)
-        self.view = view
+        self.server_pool = server_pool
         self.shortage = shortage
         self.relief = relief
         self.migration = migration
@@ -48,7 +48,7 @@
             return Penalty.HARMFUL
         if now < server.slow_until:
             return Penalty.SLOW
-        if server.connections or not request.reconnecting or self.view.load_reports.peers:
+        if server.connections or not request.reconnecting or self.server_pool.load_reports.peers:
             return Penalty.NONE
         is_dropped_there = self.context.rng.random() < self.likelihood_of_drop(request, server)
         return Penalty.SLOW if is_dropped_there else Penalty.NONE
@@ -58,13 +58,13 @@
 
         That proxy dropped or migrated it for a reason that this one is not told.
         """
-        is_owner = server is self.view.ring.owner(request.ring_position)
+        is_owner = server is self.server_pool.ring.owner(request.ring_position)
         likelihood = DROPPED_AT_OWNER if is_owner else DROPPED_FURTHER_ON
         likelihood *= 1 - 2 / self.settings.proxies
-        likelihood *= self.view.endpoints.mean_size / server.size
+        likelihood *= self.server_pool.endpoints.mean_size / server.size
         if self.settings.probes_endpoints:
             # That this proxy holds none there says little where it holds few, and its probes say more.
-            likelihood *= min(1.0, self.view.counts.mean())
+            likelihood *= min(1.0, self.server_pool.counts.mean())
         return likelihood
 
     def message_time_reported(self, now: float, server: Server, seconds: float) -> None:
@@ -74,7 +74,7 @@
             server.slow_until = min(now, server.slow_until)
             server.overdue_until = min(now, server.overdue_until)
             return
-        server.slow_until = now + SLOW_FOR * self.view.load.evidence_lifetime_factor()
+        server.slow_until = now + SLOW_FOR * self.server_pool.load.evidence_lifetime_factor()
         self.shortage.server_overloaded(server.slow_until)
         server.overdue_until = server.slow_until if seconds > objective else now
         self.relief.relieve(now, server, seconds / objective)
@@ -94,7 +94,7 @@
             return
         if now >= attempt.server.dropping_until:
             self.host.log(f"{attempt.server.id} drops connections")
-        lifetime = self.settings.overload_window * self.view.load.evidence_lifetime_factor()
+        lifetime = self.settings.overload_window * self.server_pool.load.evidence_lifetime_factor()
         self.server_drops(attempt.server, now + lifetime)
 
     def server_drops(self, server: Server, until: float) -> None:
--- a/brambleplank/decisions/placement.py
+++ b/brambleplank/decisions/placement.py
@@ -26,13 +26,13 @@
         self,
         context: Context,
         answers: FinalAnswers,
-        view: ServerPool,
+        server_pool: ServerPool,
         shortage: CapacityShortage,
         later_stages: Sequence[Stage],
     ) -> None:
         super().__init__(context)
         self.answers = answers
-        self.view = view
+        self.server_pool = server_pool
         self.shortage = shortage
         # Only of stages that override them: these are called for each server that a request looks at.
         self.exclusions: list[Callable[[float, Request, Server], bool]] = [
@@ -46,7 +46,7 @@
 
     def admit(self, now: float, request: Request) -> bool:
         """Chooses the request's server, or rejects it where all that is left is harmful."""
-        self.mean_load = self.view.load.mean()
+        self.mean_load = self.server_pool.load.mean()
         target = self.choose(now, request)
         if target is None:
             # Where all that may take it drop connections, one more would drop another.
@@ -80,9 +80,9 @@
 
         Each proxy would otherwise find such a group a server of its own, and every one pays for the group.
         """
-        group_server = self.view.groups.server_of(now, request.ring_position)
+        group_server = self.server_pool.groups.server_of(now, request.ring_position)
         return chain(
-            [group_server] if group_server else [], self.view.ring.servers_from(request.ring_position)
+            [group_server] if group_server else [], self.server_pool.ring.servers_from(request.ring_position)
         )
 
     def max_servers_tried(self, now: float, request: Request) -> float:
@@ -90,8 +90,8 @@
 
         Every server that holds any of a group pays for it, and without capacity to spare that costs more.
         """
-        members = self.view.groups.session_counts.get(request.ring_position, 0)
-        limit = 1 + members // max(1.0, self.view.counts.mean())
+        members = self.server_pool.groups.session_counts.get(request.ring_position, 0)
+        limit = 1 + members // max(1.0, self.server_pool.counts.mean())
         return limit if self.shortage.is_short_of_capacity(now) else inf
 
     def penalty(self, _now: float, request: Request, server: Server) -> Penalty:
@@ -103,11 +103,11 @@
         if request.resumed:
             return Penalty.NONE
         connections = server.connections + server.connections_elsewhere
-        share = server.size / self.view.endpoints.mean_size * self.mean_load
+        share = server.size / self.server_pool.endpoints.mean_size * self.mean_load
         bound = share if request.reconnecting else BOUND_FACTOR * self.mean_load
         if connections <= bound + BOUND_SPARE:
             return Penalty.NONE
-        highest_bound = BOUND_FACTOR * self.view.load.peak * server.size + BOUND_SPARE
+        highest_bound = BOUND_FACTOR * self.server_pool.load.peak * server.size + BOUND_SPARE
         worst = Penalty.HARMFUL if connections > highest_bound else Penalty.SLOW
         excess = max(0.0, connections / (share + BOUND_SPARE) - 1)
         return Penalty(min(worst, Penalty.FULL + int(excess / PENALTY_STEP)))
--- a/brambleplank/decisions/request_invariants.py
+++ b/brambleplank/decisions/request_invariants.py
@@ -19,7 +19,7 @@
 from brambleplank.model import AttemptOutcome, EndpointStatus, Idempotency, Settings
 from brambleplank.records import Attempt, Request, Server
 
-MAX_HELD_UP = 0.15  # seconds for which this process may be held up between reading its clock and writing
+MAX_STALL = 0.15  # seconds for which this process may be held up between reading its clock and writing
 MAX_ANSWER_DELAY = 0.1  # seconds after its deadline from which a request without an answer is a violation
 FEW_ATTEMPTS = 30  # in an overload window, under which chance weighs more
 ROOTS_IF_FEW = 3  # standard deviations over the mean that are allowed, and as many attempts more
@@ -29,7 +29,7 @@
 )
 
 
-class Rule(Enum):
+class InvariantKind(Enum):
     """What is guarded."""
 
     # Nothing new to a server that drains, nothing after the answer, one attempt at a time.
@@ -48,11 +48,11 @@
     def __init__(self, settings: Settings, report: Callable[[str], None]) -> None:
         self.settings = settings
         self.report = report
-        self.violations: Counter[Rule] = Counter()
-        self.crossings: Counter[Rule] = Counter()
+        self.violations: Counter[InvariantKind] = Counter()
+        self.crossings: Counter[InvariantKind] = Counter()
         self.sent: dict[Server, deque[float]] = {}  # when, in the last overload window; in slow start
 
-    def violated(self, rule: Rule, detail: str) -> None:
+    def violated(self, rule: InvariantKind, detail: str) -> None:
         """Counts a violation, and reports it if the count has doubled."""
         self.violations[rule] += 1
         count = self.violations[rule]
@@ -70,27 +70,27 @@
     def may_start_attempt(self, now: float, name: str, request: Request) -> bool:
         """Returns whether the newest attempt of a request may begin; the decisions have just asked for it."""
         attempt = request.attempts[-1]
-        reason = self.against_sending(now, request, attempt)
+        reason = self.reason_not_to_send(now, request, attempt)
         if reason:
-            self.violated(Rule.SENDING, f"{name} at {attempt.server.id}: {reason}")
+            self.violated(InvariantKind.SENDING, f"{name} at {attempt.server.id}: {reason}")
             return False
-        reason = self.against_repeating(now, request, attempt)
+        reason = self.reason_not_to_repeat(now, request, attempt)
         if reason:
-            self.violated(Rule.REPEATING, f"{name} at {attempt.server.id}: {reason}")
+            self.violated(InvariantKind.REPEATING, f"{name} at {attempt.server.id}: {reason}")
         return not reason
 
     def may_send_request(self, now: float, request: Request, attempt: Attempt) -> bool:
         """Returns whether the request may be written, now that the attempt's connection is up."""
-        written_by = now + MAX_HELD_UP
-        if self.against_sending(written_by, request, attempt):
-            self.crossings[Rule.SENDING] += 1
+        written_by = now + MAX_STALL
+        if self.reason_not_to_send(written_by, request, attempt):
+            self.crossings[InvariantKind.SENDING] += 1
             return False
-        if self.against_repeating(written_by, request, attempt):
-            self.crossings[Rule.REPEATING] += 1
+        if self.reason_not_to_repeat(written_by, request, attempt):
+            self.crossings[InvariantKind.REPEATING] += 1
             return False
         return True
 
-    def against_sending(self, now: float, request: Request, attempt: Attempt) -> str:
+    def reason_not_to_send(self, now: float, request: Request, attempt: Attempt) -> str:
         """Returns why the attempt may not be sent at that time; empty if it may."""
         server = attempt.server
         if request.answered:
@@ -104,7 +104,7 @@
             return f"the server is {server.status.value} and its grace is over"
         return ""
 
-    def against_repeating(self, now: float, request: Request, attempt: Attempt) -> str:
+    def reason_not_to_repeat(self, now: float, request: Request, attempt: Attempt) -> str:
         """Returns why the attempt might run a second time what has run before; empty if it cannot."""
         traffic_class = request.traffic_class
         others = [other for other in request.attempts if other is not attempt]
@@ -132,12 +132,14 @@
             return
         for attempt in request.attempts:
             if attempt.outcome not in NEVER_RAN:
-                self.violated(Rule.CLOSING, f"{name} rejected, but may have run at {attempt.server.id}")
+                self.violated(
+                    InvariantKind.CLOSING, f"{name} rejected, but may have run at {attempt.server.id}"
+                )
                 return
 
     def request_unanswered(self, name: str, how: str) -> None:
         """Counts a request that has no final answer at its deadline, or at its connection's end."""
-        self.violated(Rule.CLOSING, f"{name} {how}")
+        self.violated(InvariantKind.CLOSING, f"{name} {how}")
 
     # Starting.
 
@@ -156,7 +158,9 @@
         roots = ROOTS_IF_FEW if sustainable < FEW_ATTEMPTS else ROOTS
         most = sustainable + roots * sqrt(sustainable) + roots
         if len(sent) > most:
-            self.violated(Rule.STARTING, f"{len(sent)} at {server.id} in slow start, all may send {most:.1f}")
+            self.violated(
+                InvariantKind.STARTING, f"{len(sent)} at {server.id} in slow start, all may send {most:.1f}"
+            )
 
     def forget_warm_servers(self, now: float) -> None:
         """Forgets the attempts at servers that are no longer in slow start."""
@@ -173,6 +177,6 @@
     return one.zone == other.zone if scope == "zone" else one.cell == other.cell
 
 
-def sorted_counts(counts: Counter[Rule]) -> list[tuple[Rule, int]]:
+def sorted_counts(counts: Counter[InvariantKind]) -> list[tuple[InvariantKind, int]]:
     """Returns the counts by the rules' names."""
     return sorted(counts.items(), key=lambda item: item[0].value)
--- a/brambleplank/decisions/rotation.py
+++ b/brambleplank/decisions/rotation.py
@@ -28,9 +28,9 @@
         # From when to when each server was out, of those that have returned since.
         self.previous_outages: dict[str, tuple[float, float]] = {}
 
-    def apply(self, endpoints: list[Endpoint], whole: bool) -> list[Endpoint]:
+    def apply(self, endpoints: list[Endpoint], complete: bool) -> list[Endpoint]:
         """Returns the list, or changes to it, with the status that operators have given servers."""
-        if whole:
+        if complete:
             self.remove_unnamed({endpoint.id for endpoint in endpoints})
         for endpoint in endpoints:
             self.note(endpoint)
--- a/brambleplank/decisions/server_pool.py
+++ b/brambleplank/decisions/server_pool.py
@@ -27,9 +27,9 @@
     load_reports: LoadReports
     load: ServerLoad
 
-    def endpoints_received(self, now: float, endpoints: list[Endpoint], whole: bool) -> None:
+    def endpoints_received(self, now: float, endpoints: list[Endpoint], complete: bool) -> None:
         """Takes in a list, or changes to one, and brings what depends on it up to date."""
-        self.endpoints.merge(now, endpoints, whole)
+        self.endpoints.merge(now, endpoints, complete)
         self.load.refresh(now)
         self.counts.recount_ready()
         self.ring.build(self.endpoints.listed())
--- a/brambleplank/decisions/sessions.py
+++ b/brambleplank/decisions/sessions.py
@@ -11,8 +11,8 @@
 class Sessions:
     """Counts sessions as members of their groups, and has them reported and migrated if need be."""
 
-    def __init__(self, view: ServerPool, group_reports: GroupReports, migration: Migration) -> None:
-        self.view = view
+    def __init__(self, server_pool: ServerPool, group_reports: GroupReports, migration: Migration) -> None:
+        self.server_pool = server_pool
         self.group_reports = group_reports
         self.migration = migration
 
@@ -20,8 +20,8 @@
         """Handles a request whose attempt is established."""
         attempt.established = True
         request = attempt.request
-        is_owner = attempt.server is self.view.ring.owner(request.ring_position)
-        self.view.groups.join(request, attempt.server, is_owner)
+        is_owner = attempt.server is self.server_pool.ring.owner(request.ring_position)
+        self.server_pool.groups.join(request, attempt.server, is_owner)
         if not is_owner:
             self.group_reports.session_established(now, request, attempt.server)
         self.migration.session_established(now, request)
--- a/brambleplank/decisions/slow_start.py
+++ b/brambleplank/decisions/slow_start.py
@@ -10,7 +10,7 @@
 from brambleplank.decisions.server_pool import ServerPool
 from brambleplank.decisions.stage import Place, Stage
 from brambleplank.model import PermitMessage
-from brambleplank.records import POINTS, DecayingCounter, Request, Server
+from brambleplank.records import POINTS_PER_SERVER, DecayingCounter, Request, Server
 
 GRANTED_BUDGET_SHARE = 2 / 3  # of the budget, what attempts granted by chance come to on average
 FREQUENT_TRIES = 1 / 4  # tries of each server in slow start in an overload window
@@ -20,18 +20,18 @@
 class SlowStartBudget:
     """How many attempts a server in slow start bears, and how many of them are this proxy's."""
 
-    def __init__(self, context: Context, view: ServerPool) -> None:
+    def __init__(self, context: Context, server_pool: ServerPool) -> None:
         self.context = context
-        self.view = view
+        self.server_pool = server_pool
 
     def tokens(self, now: float, server: Server, proxy_numbers: Iterable[int]) -> int:
         """Returns how many attempts in this slot the proxies of these numbers have together.
 
         They are dealt out by number, from the server's own points on, so that equal lists give equal shares.
         """
-        first = server.points[self.view.slots.update(now, server) % POINTS]
+        first = server.points[self.server_pool.slots.update(now, server) % POINTS_PER_SERVER]
         proxies = self.context.settings.proxies
-        budget = self.budget(now, server) * self.view.slots.windows_per_slot()
+        budget = self.budget(now, server) * self.server_pool.slots.windows_per_slot()
         return sum(max(0, ceil((budget - (number + first) % proxies) / proxies)) for number in proxy_numbers)
 
     def budget(self, now: float, server: Server) -> float:
@@ -52,24 +52,26 @@
             settings.overload_factor
             * (self.rate_on_warm_servers(now, server) * capacity)
             * settings.overload_window
-            / max(1, self.view.endpoints.warm_count)
+            / max(1, self.server_pool.endpoints.warm_count)
         )
 
     def rate_on_warm_servers(self, now: float, server: Server) -> float:
         """Returns the attempts a second at all warm servers, for the size of this server."""
         settings = self.context.settings
         proxies_per_report = 1.0
-        if not self.view.load_reports.has_aggregate:
-            proxies_per_report = settings.proxies / (1 + len(self.view.load_reports.peers))
-        connections = proxies_per_report * self.view.load.mean() * len(self.view.endpoints.available)
+        if not self.server_pool.load_reports.has_aggregate:
+            proxies_per_report = settings.proxies / (1 + len(self.server_pool.load_reports.peers))
+        connections = (
+            proxies_per_report * self.server_pool.load.mean() * len(self.server_pool.endpoints.available)
+        )
         # What one proxy serves, taken for what each does, is far off where clients are uneven.
         proxies_alike = min(
-            settings.proxies, max(proxies_per_report, connections) / max(1, self.view.counts.on_ready)
+            settings.proxies, max(proxies_per_report, connections) / max(1, self.server_pool.counts.on_ready)
         )
         rate_by_connections = (
-            connections * server.size / self.view.endpoints.mean_size / settings.slow_start_time
+            connections * server.size / self.server_pool.endpoints.mean_size / settings.slow_start_time
         )
-        return max(rate_by_connections, proxies_alike * self.view.counts.served_rate(now))
+        return max(rate_by_connections, proxies_alike * self.server_pool.counts.served_rate(now))
 
 
 class SlowStart(Stage):
@@ -78,10 +80,12 @@
     Where an aggregator is live, it grants permits for single attempts; otherwise each proxy has a share.
     """
 
-    def __init__(self, context: Context, place: Place, view: ServerPool, budgets: SlowStartBudget) -> None:
+    def __init__(
+        self, context: Context, place: Place, server_pool: ServerPool, budgets: SlowStartBudget
+    ) -> None:
         super().__init__(context)
         self.place = place
-        self.view = view
+        self.server_pool = server_pool
         self.budgets = budgets
         self.tries = DecayingCounter()  # how often requests tried any server in slow start
 
@@ -91,7 +95,7 @@
 
     def update_slot(self, now: float, server: Server) -> int:
         """Returns the number of the server's present slot; a new one begins with no attempt sent."""
-        return self.view.slots.update(now, server)
+        return self.server_pool.slots.update(now, server)
 
     def sustainable_attempts(self, now: float, server: Server) -> float:
         """Returns the attempts in an overload window that the server bears at its age."""
@@ -105,7 +109,7 @@
         """Returns whether the server is in slow start, and this request has neither permit nor token."""
         if not self.is_in_slow_start(now, server) or request.permit_for is server:
             return False
-        if self.view.load_reports.has_live_aggregator(now):
+        if self.server_pool.load_reports.has_live_aggregator(now):
             return request.permit_requested
         return not self.has_token(now, server)
 
@@ -125,7 +129,7 @@
     def tries_per_server(self, now: float) -> float:
         """Returns how often requests tried each server in slow start in the last overload window."""
         tries = self.tries.value(now, self.settings.overload_window)
-        return tries / max(1, len(self.view.endpoints.ready) - self.view.endpoints.warm_count)
+        return tries / max(1, len(self.server_pool.endpoints.ready) - self.server_pool.endpoints.warm_count)
 
     def admit(self, now: float, request: Request) -> bool:
         """Counts the attempt at a server in slow start, or requests a permit for it."""
@@ -134,7 +138,9 @@
         request.permit_for = None  # It is for one attempt.
         if has_permit:
             return True
-        if not self.is_in_slow_start(now, server) or not self.view.load_reports.has_live_aggregator(now):
+        if not self.is_in_slow_start(now, server) or not self.server_pool.load_reports.has_live_aggregator(
+            now
+        ):
             server.slow_start_sent += 1
             return True
         self.request_permit(now, request, server)
@@ -144,10 +150,10 @@
         """Asks the aggregator whether the request may go to the server; it waits for the answer."""
         request.permit_requested = True
         server.permit_requests[request] = None
-        if self.view.load_reports.is_aggregator:
+        if self.server_pool.load_reports.is_aggregator:
             self.permit_answered(now, server, self.grant_permit(now, server))
             return
-        self.host.send_permit_message(server, self.view.load_reports.aggregator, PermitMessage.REQUEST)
+        self.host.send_permit_message(server, self.server_pool.load_reports.aggregator, PermitMessage.REQUEST)
         wait = self.settings.shortest_latency_objective * PERMIT_WAIT_SHARE
         self.host.call_later(wait, partial(self.permit_timed_out, server=server, request=request))
 
@@ -156,9 +162,9 @@
 
         It has the tokens of all proxies that report to it.
         """
-        proxy_numbers = [*self.view.load_reports.peers, self.settings.proxy_number]
+        proxy_numbers = [*self.server_pool.load_reports.peers, self.settings.proxy_number]
         is_granted = (
-            self.view.load_reports.has_live_aggregator(now)
+            self.server_pool.load_reports.has_live_aggregator(now)
             and self.budgets.tokens(now, server, proxy_numbers) > server.slow_start_sent
         )
         if is_granted:
--- a/brambleplank/decisions/slow_start_slots.py
+++ b/brambleplank/decisions/slow_start_slots.py
@@ -29,7 +29,7 @@
         has_few_requests = (
             settings.proxies >= MANY_PROXIES and self.counts.most_on_ready <= self.endpoints.warm_count
         )
-        return 2 if has_few_requests and not settings.may_talk_to_peers else 1
+        return 2 if has_few_requests and not settings.may_message_peers else 1
 
     def update(self, now: float, server: Server) -> int:
         """Returns the number of the server's present slot; a new one begins with no attempt sent."""
--- a/brambleplank/decisions/start_times.py
+++ b/brambleplank/decisions/start_times.py
@@ -39,7 +39,7 @@
         self.complete_at = now
 
     def to_monotonic(
-        self, now: float, wall: float, endpoints: list[Endpoint], whole: bool, slow_start_time: float
+        self, now: float, wall: float, endpoints: list[Endpoint], complete: bool, slow_start_time: float
     ) -> list[Endpoint]:
         """Returns the endpoints of a list, or changes to it, with their starts on this process's clock.
 
@@ -50,7 +50,9 @@
         if newest > 0 and newest - now > self.clock_lead:
             self.clock_lead = newest - now
             self.prove_again()
-        trusted = whole and self.is_first_list and self.mostly_unproven(now, wall, endpoints, slow_start_time)
+        trusted = (
+            complete and self.is_first_list and self.mostly_unproven(now, wall, endpoints, slow_start_time)
+        )
         self.is_first_list = False
         converted = [
             endpoint._replace(started=self.start(now, wall, endpoint, trusted)) for endpoint in endpoints
--- a/brambleplank/model.py
+++ b/brambleplank/model.py
@@ -102,7 +102,7 @@
     may_send_retry_after: bool
     max_retry_after: float  # seconds
     drain_grace: float  # seconds in which a draining server may still be reached
-    list_poll_within: float  # seconds; the longest between two calls for the endpoint list
+    max_list_poll_interval: float  # seconds; the longest between two calls for the endpoint list
     slow_start_initial_share: float  # of a warm server's capacity, at its start
     slow_start_time: float  # seconds until a server is warm
     overload_factor: float  # a server bears this multiple of what warm servers bear
@@ -112,7 +112,7 @@
     max_session_silence: float  # seconds; a session that brings nothing back for so long is given up
     zone: str  # this proxy's own
     probes_endpoints: bool  # whether message times have to be measured by probes, as nobody reports them
-    may_talk_to_peers: bool  # whether proxies may speak to one another
+    may_message_peers: bool  # whether proxies may speak to one another
     passes_through: bool  # whether sessions go on at another proxy if this one ends, as packets pass through
     has_groups: bool  # whether a request names the group that it shares work with
     traffic_classes: dict[str, TrafficClass]  # by name
@@ -135,4 +135,4 @@
         Only where proxies must probe, or where sessions go on at other proxies. Where sessions end here and
         servers' message times are reported to all, all proxies that hear of one place would crowd it.
         """
-        return self.may_talk_to_peers and (self.passes_through or self.probes_endpoints)
+        return self.may_message_peers and (self.passes_through or self.probes_endpoints)
--- a/brambleplank/net/peer_exchange.py
+++ b/brambleplank/net/peer_exchange.py
@@ -115,6 +115,6 @@
             link.report_group_servers(dict(group_servers))
 
     def _active_link(self) -> PeerLink | None:
-        if self._settings.may_talk_to_peers and not self._siblings.has_successor:
+        if self._settings.may_message_peers and not self._siblings.has_successor:
             return self.link
         return None
--- a/brambleplank/platform/configuration.py
+++ b/brambleplank/platform/configuration.py
@@ -84,7 +84,7 @@
     listen = address(os.environ.get("ROUTER_LISTEN") or file.get("listen"), "listen")
     discovery = address(discovery_address(file, previous), "discovery")
     peers = None
-    if settings.may_talk_to_peers and file.get("peer_listen") is not None:
+    if settings.may_message_peers and file.get("peer_listen") is not None:
         # The peers are of this kind, in the order of their own numbers; the other kind may be numbered first.
         first_number = settings.proxy_number - raw_settings["slot_no"]
         peers = PeerConfiguration(
--- a/brambleplank/records.py
+++ b/brambleplank/records.py
@@ -18,9 +18,11 @@
 except ImportError:
     md5 = partial(hashlib.md5, usedforsecurity=False)
 
-POINTS = 63  # of a server on the ring, as in the paper's tests
+POINTS_PER_SERVER = 63  # of a server on the ring, as in the paper's tests
 UNREPORTED_POSITION_BITS = 96  # low bits of a group's ring position that are not reported to other proxies
-POINT_SUFFIXES = [b"#%d" % number for number in range(POINTS)]  # made once, as starts spend most time here
+POINT_SUFFIXES = [
+    b"#%d" % number for number in range(POINTS_PER_SERVER)
+]  # made once, as starts spend most time here
 NO_SLOT = -1
 
 
@@ -73,9 +75,9 @@
         self.pending_attempts: dict[Attempt, None] = {}  # out and unanswered, oldest first
         self.requests_by_group: dict[int, dict[Request, None]] = {}  # its sessions, by ring position
         self.permit_requests: dict[Request, None] = {}  # that wait for a slow-start permit, oldest first
-        self.restarted(0.0)
+        self.record_restart(0.0)
 
-    def restarted(self, at: float) -> None:
+    def record_restart(self, at: float) -> None:
         """Forgets what was known of the process before; a new one has started at that time."""
         self.started = at
         self.usual_response_time = 0.0  # seconds from an attempt to its answer; 0: none yet
--- a/brambleplank/settings.py
+++ b/brambleplank/settings.py
@@ -29,7 +29,7 @@
     ADVICE = "start this program by the line that its host's page gives, with a host of the same wire"
 
 
-def known(words: Mapping[Any, MeaningT], word: Any, what: str) -> MeaningT:
+def decode_word(words: Mapping[Any, MeaningT], word: Any, what: str) -> MeaningT:
     """Returns the meaning of one of the wire's words. Raises MalformedError for an unknown one."""
     if word not in words:
         raise MalformedError(f"unknown {what} {word!r:.40}")
@@ -55,7 +55,7 @@
         may_send_retry_after=limits["retry_after"],
         max_retry_after=limits["max_retry_after_us"] * MICRO,
         drain_grace=rules["stop_sending_within_us"] * MICRO,
-        list_poll_within=rules["ask_within_us"] * MICRO,
+        max_list_poll_interval=rules["ask_within_us"] * MICRO,
         slow_start_initial_share=rules["cold_from"],
         slow_start_time=rules["ramp_time_us"] * MICRO,
         overload_factor=rules["overload_factor"],
@@ -65,7 +65,7 @@
         max_session_silence=MAX_SESSION_SILENCE,
         zone=info.get("az", ""),
         probes_endpoints=sockets and bool(limits.get("may_probe", False)),
-        may_talk_to_peers=bool(limits.get("peers", False)),
+        may_message_peers=bool(limits.get("peers", False)),
         passes_through=facts.get("mode") == "pass",
         has_groups=bool(facts.get("groups", False)),
         traffic_classes=traffic_classes,
--- a/brambleplank/wirehost/simulated_proxy.py
+++ b/brambleplank/wirehost/simulated_proxy.py
@@ -10,7 +10,7 @@
 from brambleplank.peer_messages import TAG_WIDTHS, PeerMessenger
 from brambleplank.records import Request, Server
 from brambleplank.server_tags import ServerTags
-from brambleplank.settings import MICRO, decode_settings, known
+from brambleplank.settings import MICRO, decode_settings, decode_word
 from brambleplank.wirehost.wire import (
     LIST_FAILED,
     LIST_KINDS,
@@ -60,7 +60,7 @@
         request = self.balancer.request_received(
             now,
             event.request_id,
-            known(self.balancer.settings.traffic_classes, event.traffic_class, "service type"),
+            decode_word(self.balancer.settings.traffic_classes, event.traffic_class, "service type"),
             event.key,
             event.group,
             (event.deadline_us or 0) * MICRO,
@@ -89,7 +89,7 @@
         _gauge: list[float] | None,
     ) -> None:
         """Handles the end of an attempt or its session."""
-        outcome = known(OUTCOMES, reason, "reason")
+        outcome = decode_word(OUTCOMES, reason, "reason")
         if request := self.requests.get(request_id):
             delay = (delay_us or 0) * MICRO
             self.balancer.attempt_ended(now, request, number, outcome, delay, complete)
@@ -120,7 +120,7 @@
             return
         self.tags = None
         endpoints = [decode_endpoint(entry) for entry in entries]
-        self.balancer.endpoints_received(now, endpoints, known(LIST_KINDS, kind, "kind of list"))
+        self.balancer.endpoints_received(now, endpoints, decode_word(LIST_KINDS, kind, "kind of list"))
 
     def peer_message_received(self, now: float, peer: int, text: str) -> None:
         """Handles a message of another proxy; one of an unknown form is ignored, as of another build."""
@@ -256,6 +256,6 @@
 
     def take(self, number: int) -> Callable[[float], None]:
         """Returns what waits for a timer that has expired. Raises MalformedError for an unknown one."""
-        call = known(self.calls, number, "alarm")
+        call = decode_word(self.calls, number, "alarm")
         del self.calls[number]
         return call
--- a/brambleplank/wirehost/wire.py
+++ b/brambleplank/wirehost/wire.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from brambleplank.model import AttemptOutcome, Endpoint, EndpointStatus
-from brambleplank.settings import MICRO, known
+from brambleplank.settings import MICRO, decode_word
 
 MAX_PEER_MESSAGE_SIZE = 204  # bytes, which are 255 letters of text
 MESSAGE_TIME_CHANGE = 2  # the kind of CHANGE that reports a message time
@@ -78,7 +78,7 @@
         id=server_id,
         zone=zone,
         cell=cell,
-        status=known(STATUSES, status, "condition"),
+        status=decode_word(STATUSES, status, "condition"),
         size=float(size or 1),
         started=(started_us or 0) * MICRO,
     )
--- a/tests/aggregating_fleet.py
+++ b/tests/aggregating_fleet.py
@@ -14,7 +14,7 @@
 
 def aggregators(fakes: list[PeeredFakeHost]) -> set[object]:
     """Returns the numbers of the aggregators that the proxies know."""
-    return {fake.balancer.view.load_reports.aggregator for fake in fakes}
+    return {fake.balancer.server_pool.load_reports.aggregator for fake in fakes}
 
 
 def make_aggregating_fleet(proxies: int) -> list[PeeredFakeHost]:
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -44,16 +44,18 @@
         self.descriptor_share = 1.0
         self.timers: list[tuple[float, Callable[[float], None]]] = []
         self.balancer = Balancer(self, replace(DECODED_SETTINGS, **changes), seed)
-        self.receive_endpoints({f"10.0.0.{i}:80": EndpointStatus.READY for i in range(servers)}, whole=True)
+        self.receive_endpoints(
+            {f"10.0.0.{i}:80": EndpointStatus.READY for i in range(servers)}, complete=True
+        )
 
     def receive_endpoints(
-        self, states: dict[str, EndpointStatus], whole: bool = False, started: float = 0.0, zone: str = "a"
+        self, states: dict[str, EndpointStatus], complete: bool = False, started: float = 0.0, zone: str = "a"
     ) -> None:
         """Gives the balancer an endpoint list, or changes to it, at this instant."""
         self.balancer.endpoints_received(
             self.now,
             [Endpoint(name, zone, 0, status, 1.0, started) for name, status in states.items()],
-            whole,
+            complete,
         )
 
     def server(self, server_id: str) -> records.Server:
@@ -148,12 +150,12 @@
     def send_load_report(
         self,
         held: Iterable[tuple[records.Server, int]],
-        whole: bool,
+        complete: bool,
         to: int | None,
         summed: bool,  # noqa: ARG002  the protocol's argument
     ) -> None:
         """Records the call."""
-        self.recorded_calls.append((HostCall.SEND_LOAD_REPORT, (list(held), whole, to)))
+        self.recorded_calls.append((HostCall.SEND_LOAD_REPORT, (list(held), complete, to)))
 
     def send_permit_message(self, server: records.Server, to: int, word: int) -> None:
         """Records the call."""
@@ -189,15 +191,15 @@
             peer.balancer.message_time_reported(peer.now, peer.server(server.id), seconds)
 
     def send_load_report(
-        self, held: Iterable[tuple[records.Server, int]], whole: bool, to: int | None, summed: bool
+        self, held: Iterable[tuple[records.Server, int]], complete: bool, to: int | None, summed: bool
     ) -> None:
         """Records the call and gives the report to its receivers."""
-        super().send_load_report(held, whole, to, summed)
+        super().send_load_report(held, complete, to, summed)
         sender = self.balancer.settings.proxy_number
         for peer in self.peers:
             if to in (None, peer.balancer.settings.proxy_number):
                 report = [(peer.server(server.id), count) for server, count in held]
-                peer.balancer.load_report_received(peer.now, sender, report, whole, summed)
+                peer.balancer.load_report_received(peer.now, sender, report, complete, summed)
 
     def send_permit_message(self, server: records.Server, to: int, word: int) -> None:
         """Gives the message to its receiver."""
@@ -225,7 +227,7 @@
 def make_fake_fleet(proxies: int, kind: type[FakeHostT], **changes: Any) -> list[FakeHostT]:
     """Returns so many fake hosts that know each other; peered ones also talk and probe."""
     talks = kind is PeeredFakeHost
-    settings = {"may_talk_to_peers": talks, "probes_endpoints": talks, **changes}
+    settings = {"may_message_peers": talks, "probes_endpoints": talks, **changes}
     hosts = [kind(proxies=proxies, proxy_number=n, seed=n, **settings) for n in range(proxies)]
     for host in hosts:
         host.peers = [other for other in hosts if other is not host]
--- a/tests/test_capacity_shortage.py
+++ b/tests/test_capacity_shortage.py
@@ -45,7 +45,7 @@
 def test_servers_in_slow_start_do_not_count_as_capacity(fake: FakeHost) -> None:
     held = [fake.request(group=key, server=server) for key, server in enumerate(fake.balancer.ready_servers)]
     fake.receive_endpoints({f"10.1.0.{i}:80": EndpointStatus.READY for i in range(20)}, started=fake.now)
-    assert fake.balancer.view.counts.mean() == 1.0
+    assert fake.balancer.server_pool.counts.mean() == 1.0
     for request in held:
         fake.balancer.message_time_reported(fake.now, request.attempts[-1].server, 0.05)
     fake.advance(1.0)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -13,10 +13,10 @@
         fake.balancer.endpoint_list_failed(fake.now)
     assert len({fake.timers[-1][0] for fake in proxies}) == 4
     for fake in proxies:
-        fake.advance(DECODED_SETTINGS.list_poll_within / 2)
+        fake.advance(DECODED_SETTINGS.max_list_poll_interval / 2)
         assert len(fake.calls(HostCall.FOLLOW_ENDPOINTS)) == 2
 
 
 def test_removed_servers_without_connections_are_forgotten(fake: FakeHost) -> None:
-    fake.receive_endpoints({"10.0.0.1:80": EndpointStatus.READY}, whole=True)
+    fake.receive_endpoints({"10.0.0.1:80": EndpointStatus.READY}, complete=True)
     assert list(fake.balancer.servers) == ["10.0.0.1:80"]
--- a/tests/test_hash_ring.py
+++ b/tests/test_hash_ring.py
@@ -27,8 +27,8 @@
     other = FakeHost(servers=300)
     fake.receive_endpoints({f"10.0.0.{i}:80": EndpointStatus.READY for i in range(100, 300)})
     fake.receive_endpoints({f"10.0.0.{i}:80": EndpointStatus.REMOVED for i in range(50)})
-    other.receive_endpoints({f"10.0.0.{i}:80": EndpointStatus.READY for i in range(50, 300)}, whole=True)
+    other.receive_endpoints({f"10.0.0.{i}:80": EndpointStatus.READY for i in range(50, 300)}, complete=True)
     assert fake.balancer.ring.points == other.balancer.ring.points
     assert owner(fake, 7) == owner(other, 7)
-    fake.receive_endpoints({}, whole=True)
+    fake.receive_endpoints({}, complete=True)
     assert not fake.request(7).attempts and fake.calls(HostCall.REJECT)
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -10,7 +10,7 @@
 
 
 def test_own_zone_is_probed_more_often_at_first_and_when_slow() -> None:
-    fake = FakeHost(probes_endpoints=True, may_talk_to_peers=True)
+    fake = FakeHost(probes_endpoints=True, may_message_peers=True)
     fake.receive_endpoints({"10.0.0.9:80": EndpointStatus.READY}, zone="b")
     fake.advance(6.5)
     probed = [server.id for server in fake.calls(HostCall.PROBE)]
@@ -36,7 +36,7 @@
 
 
 def test_unreported_distant_server_is_probed() -> None:
-    fake = FakeHost(probes_endpoints=True, may_talk_to_peers=True)
+    fake = FakeHost(probes_endpoints=True, may_message_peers=True)
     fake.receive_endpoints(
         {"10.0.9.1:80": EndpointStatus.READY, "10.0.9.2:80": EndpointStatus.READY}, zone="b"
     )
@@ -55,15 +55,15 @@
 
 
 def test_permissions_to_probe_and_to_report_start_with_a_reload() -> None:
-    fake = FakeHost(may_talk_to_peers=False)
+    fake = FakeHost(may_message_peers=False)
     fake.advance(3.0)
     assert not fake.calls(HostCall.PROBE) and not fake.calls(HostCall.SEND_LOAD_REPORT)
     for _ in range(3):  # permitted, denied and permitted again, each loop runs once
         fake.balancer.update_settings(
-            replace(DECODED_SETTINGS, may_talk_to_peers=True, probes_endpoints=True)
+            replace(DECODED_SETTINGS, may_message_peers=True, probes_endpoints=True)
         )
         fake.balancer.update_settings(DECODED_SETTINGS)
-    fake.balancer.update_settings(replace(DECODED_SETTINGS, may_talk_to_peers=True, probes_endpoints=True))
+    fake.balancer.update_settings(replace(DECODED_SETTINGS, may_message_peers=True, probes_endpoints=True))
     fake.advance(8.0)
     assert (
         10 <= len(fake.calls(HostCall.PROBE)) <= 40 and 5 <= len(fake.calls(HostCall.SEND_LOAD_REPORT)) <= 14
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -73,7 +73,7 @@
         self.proxy = self.program.proxy
         self.balancer = self.proxy.balancer
         # Nothing that is reported of a server is too much to be believed.
-        self.balancer.view.counts.most_on_ready = 10**9
+        self.balancer.server_pool.counts.most_on_ready = 10**9
         self.servers = self.balancer.servers
         self.sent: list[tuple[bytes, Address]] = []
         assert self.proxy.peer_link is not None
@@ -112,8 +112,8 @@
     sums = [count + PROCESSES - 2 for count in held.values()]
     assert [server.connections_elsewhere for server in aggregator.servers.values()] == sums
 
-    aggregator.balancer.view.load_reports.aggregator = 0
-    aggregator.balancer.view.load_reports.report_changes(aggregator.proxy.clock.now())
+    aggregator.balancer.server_pool.load_reports.aggregator = 0
+    aggregator.balancer.server_pool.load_reports.report_changes(aggregator.proxy.clock.now())
     third.hear(aggregator.datagrams(), 0)
     assert [server.connections_elsewhere for server in third.servers.values()] == sums
 
@@ -210,7 +210,7 @@
         news.append(["ROSTER_CHANGE", f"proxy/{number}", "SAVED", 1, 0])
     pipe.batch(json.dumps({"t_us": 10**6, "news": news}))
     reader_, sender = pipe.proxies["proxy/0"], pipe.proxies["proxy/1"]
-    reader_.balancer.view.counts.most_on_ready = 10**9
+    reader_.balancer.server_pool.counts.most_on_ready = 10**9
     pipe.actions.clear()
     servers: list[records.Server] = list(sender.balancer.servers.values())
     sender.send_load_report(
@@ -225,8 +225,8 @@
 
 
 def test_lists_of_all_servers_come_in_from_each_source() -> None:
-    version, whole, listed, addresses = decode_list(LIST)
-    assert (version, whole, len(listed), len(addresses)) == (1, True, SERVERS, SERVERS)
+    version, complete, listed, addresses = decode_list(LIST)
+    assert (version, complete, len(listed), len(addresses)) == (1, True, SERVERS, SERVERS)
     heard: list[Any] = []
     discovery = SimpleNamespace(list_received=heard.append, watch_failed=heard.append)
     discovery.proxy = SimpleNamespace(
@@ -356,5 +356,5 @@
 
 def test_the_ring_holds_all_servers() -> None:
     balancer: Balancer = Process(0).balancer
-    assert len(balancer.ring.points) == SERVERS * records.POINTS
+    assert len(balancer.ring.points) == SERVERS * records.POINTS_PER_SERVER
     assert len(set(balancer.ring.servers_from(7))) == SERVERS
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -9,7 +9,7 @@
 
 
 def test_bound_counts_all_proxies_but_no_false_or_outdated_report() -> None:
-    fake = FakeHost(proxies=40, proxy_number=39, may_talk_to_peers=True, probes_endpoints=True)
+    fake = FakeHost(proxies=40, proxy_number=39, may_message_peers=True, probes_endpoints=True)
     owner = fake.request(group=3).attempts[0].server
     others = [server for server in fake.balancer.ready_servers if server is not owner]
     for peer in range(39):  # on five servers: "twice the mean plus two" is 18
@@ -26,7 +26,7 @@
     fake.receive_endpoints({others[0].id: EndpointStatus.READY}, started=fake.now)
     assert not others[0].connections_elsewhere and owner.connections_elsewhere
     fake.advance(60.0)  # without any report
-    assert not owner.connections_elsewhere and not fake.balancer.view.load_reports.peers
+    assert not owner.connections_elsewhere and not fake.balancer.server_pool.load_reports.peers
     # Reports may be lost, so complete ones are repeated.
     assert sum(complete for _, complete, _ in fake.calls(HostCall.SEND_LOAD_REPORT)) >= 5
 
@@ -37,7 +37,7 @@
         drained.end_attempt(request, AttemptOutcome.CANCELLED, complete=True)
     crowded = drained.balancer.ready_servers[0]
     drained.balancer.load_report_received(drained.now, 1, [(crowded, 40)], True)
-    assert crowded.connections_elsewhere == 40 and drained.balancer.view.counts.on_ready == 0
+    assert crowded.connections_elsewhere == 40 and drained.balancer.server_pool.counts.on_ready == 0
 
 
 def test_one_aggregator_adds_up_for_all() -> None:
@@ -55,7 +55,7 @@
     dead = next(
         fake
         for fake in fakes
-        if fake.balancer.view.load_reports.aggregator == fake.balancer.settings.proxy_number
+        if fake.balancer.server_pool.load_reports.aggregator == fake.balancer.settings.proxy_number
     )
     remaining = [fake for fake in fakes if fake is not dead]
     for fake in remaining:
@@ -71,7 +71,7 @@
         proxies=12,
         proxy_number=dead.balancer.settings.proxy_number,
         seed=99,
-        may_talk_to_peers=True,
+        may_message_peers=True,
         passes_through=True,
     )
     new.peers = remaining
@@ -86,15 +86,15 @@
 
 
 def test_lower_number_stays_aggregator_and_grants_from_its_next_slot() -> None:
-    fake = FakeHost(proxies=1, proxy_number=8, may_talk_to_peers=True, passes_through=True)
+    fake = FakeHost(proxies=1, proxy_number=8, may_message_peers=True, passes_through=True)
     for aggregator, known in ((5, 5), (7, 5), (3, 3)):
         fake.balancer.load_report_received(fake.now, aggregator, [], False, True)
-        assert fake.balancer.view.load_reports.aggregator == known
+        assert fake.balancer.server_pool.load_reports.aggregator == known
     # With no other aggregator it becomes one, and cannot know what others have sent before.
-    while fake.balancer.view.load_reports.aggregator != 8:
+    while fake.balancer.server_pool.load_reports.aggregator != 8:
         fake.receive_endpoints({"cold": EndpointStatus.READY}, started=fake.now)
         fake.advance(0.1)
-    fake.balancer.view.load_reports.aggregator_seen_at = fake.now + DECODED_SETTINGS.overload_window
+    fake.balancer.server_pool.load_reports.aggregator_seen_at = fake.now + DECODED_SETTINGS.overload_window
     assert not fake.balancer.slow_start.grant_permit(fake.now, fake.server("cold"))
     assert fake.balancer.slow_start.grant_permit(
         fake.now + DECODED_SETTINGS.overload_window, fake.server("cold")
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -41,7 +41,7 @@
             proxy_number=number,
             max_retry_after=LONGEST_PAUSE,
             traffic_classes=kinds,
-            may_talk_to_peers=peers,
+            may_message_peers=peers,
             probes_endpoints=peers,
         )
 
@@ -152,7 +152,9 @@
         member.now = self.now
         settings = member.balancer.settings
         member.balancer = Balancer(member, settings, 1000 + settings.proxy_number)
-        member.receive_endpoints({f"10.0.0.{n}:80": EndpointStatus.READY for n in range(SERVERS)}, whole=True)
+        member.receive_endpoints(
+            {f"10.0.0.{n}:80": EndpointStatus.READY for n in range(SERVERS)}, complete=True
+        )
         ended = [each for each in self.sessions if each[0] is member]
         self.sessions = [each for each in self.sessions if each[0] is not member]
         for _ in [*ended, *member.unanswered]:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -37,7 +37,7 @@
             fake.establish(request)
     assert fake.calls(HostCall.REJECT)  # at once, with a pause
     assert (
-        8 <= unseen.connections <= 1.5 * (fake.balancer.view.counts.mean() + 2) + 1
+        8 <= unseen.connections <= 1.5 * (fake.balancer.server_pool.counts.mean() + 2) + 1
         and sum(s.connections for s in slow) >= 8
     )
 
--- a/tests/test_rule_guard.py
+++ b/tests/test_rule_guard.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from brambleplank.decisions.request_invariants import MAX_HELD_UP, RequestInvariants, Rule
+from brambleplank.decisions.request_invariants import MAX_STALL, InvariantKind, RequestInvariants
 from brambleplank.model import AttemptOutcome, EndpointStatus, Idempotency, TrafficClass
 from brambleplank.records import Attempt, Request, Server
 from tests.faults import Faults
@@ -64,7 +64,7 @@
     "effect, group, tried, broken",
     [
         (Idempotency.IDEMPOTENT, "all", ((ONE, AttemptOutcome.TIMEOUT), (OTHER, None)), None),
-        (Idempotency.IDEMPOTENT, "all", ((ONE, None), (OTHER, None)), Rule.SENDING),
+        (Idempotency.IDEMPOTENT, "all", ((ONE, None), (OTHER, None)), InvariantKind.SENDING),
         (Idempotency.NON_IDEMPOTENT, "all", ((ONE, AttemptOutcome.FULL), (OTHER, None)), None),
         (
             Idempotency.NON_IDEMPOTENT,
@@ -72,16 +72,36 @@
             ((ONE, AttemptOutcome.LOCAL_FAULT), (ONE, AttemptOutcome.UNREACHABLE), (OTHER, None)),
             None,
         ),
-        (Idempotency.NON_IDEMPOTENT, "all", ((ONE, AttemptOutcome.RESET), (OTHER, None)), Rule.REPEATING),
-        (Idempotency.NON_IDEMPOTENT, "all", ((ONE, AttemptOutcome.TIMEOUT), (OTHER, None)), Rule.REPEATING),
+        (
+            Idempotency.NON_IDEMPOTENT,
+            "all",
+            ((ONE, AttemptOutcome.RESET), (OTHER, None)),
+            InvariantKind.REPEATING,
+        ),
+        (
+            Idempotency.NON_IDEMPOTENT,
+            "all",
+            ((ONE, AttemptOutcome.TIMEOUT), (OTHER, None)),
+            InvariantKind.REPEATING,
+        ),
         (Idempotency.IDEMPOTENT_IN_GROUP, "all", ((ONE, AttemptOutcome.TIMEOUT), (FAR, None)), None),
         (Idempotency.IDEMPOTENT_IN_GROUP, "zone", ((ONE, AttemptOutcome.ERROR), (OTHER, None)), None),
-        (Idempotency.IDEMPOTENT_IN_GROUP, "zone", ((ONE, AttemptOutcome.ERROR), (FAR, None)), Rule.REPEATING),
-        (Idempotency.IDEMPOTENT_IN_GROUP, "cell", ((ONE, AttemptOutcome.RESET), (FAR, None)), Rule.REPEATING),
+        (
+            Idempotency.IDEMPOTENT_IN_GROUP,
+            "zone",
+            ((ONE, AttemptOutcome.ERROR), (FAR, None)),
+            InvariantKind.REPEATING,
+        ),
+        (
+            Idempotency.IDEMPOTENT_IN_GROUP,
+            "cell",
+            ((ONE, AttemptOutcome.RESET), (FAR, None)),
+            InvariantKind.REPEATING,
+        ),
     ],
 )
 def test_attempt_against_a_rule_is_refused_and_counted(
-    guard: RequestInvariants, effect: Idempotency, group: str, tried: Any, broken: Rule | None
+    guard: RequestInvariants, effect: Idempotency, group: str, tried: Any, broken: InvariantKind | None
 ) -> None:
     assert guard.may_start_attempt(NOW + 0.3, "1a", flow(effect, group, *tried)) == (broken is None)
     assert list(guard.violations) == ([broken] if broken else [])
@@ -91,8 +111,8 @@
     referenced = flow(Idempotency.IDEMPOTENT_IN_GROUP, "all", (ONE, AttemptOutcome.RESET), (OTHER, None))
     assert guard.may_start_attempt(NOW + 0.9, "1a", referenced)
     assert guard.may_send_request(NOW + 0.8, referenced, referenced.attempts[-1])
-    assert not guard.may_send_request(NOW + 1.0 - MAX_HELD_UP, referenced, referenced.attempts[-1])
-    assert not guard.violations and guard.crossings == {Rule.REPEATING: 1}
+    assert not guard.may_send_request(NOW + 1.0 - MAX_STALL, referenced, referenced.attempts[-1])
+    assert not guard.violations and guard.crossings == {InvariantKind.REPEATING: 1}
 
 
 def test_drain_is_a_crossing_before_the_write_and_a_violation_at_the_dial(guard: RequestInvariants) -> None:
@@ -102,10 +122,10 @@
     drains.unready_since = NOW
     assert guard.may_send_request(NOW + 0.5, plain, plain.attempts[-1])
     assert not guard.may_send_request(
-        NOW + DECODED_SETTINGS.drain_grace - MAX_HELD_UP, plain, plain.attempts[-1]
+        NOW + DECODED_SETTINGS.drain_grace - MAX_STALL, plain, plain.attempts[-1]
     )
     assert not guard.may_start_attempt(NOW + DECODED_SETTINGS.drain_grace, "1a", plain)
-    assert guard.crossings == guard.violations == {Rule.SENDING: 1}
+    assert guard.crossings == guard.violations == {InvariantKind.SENDING: 1}
 
 
 def test_reject_that_promises_too_much_is_counted(guard: RequestInvariants) -> None:
@@ -114,21 +134,21 @@
     assert not guard.violations
     guard.request_rejected("1c", flow(Idempotency.NON_IDEMPOTENT, "all", (ONE, AttemptOutcome.TIMEOUT)))
     guard.request_rejected("1d", flow(Idempotency.IDEMPOTENT_IN_GROUP, "zone", (ONE, AttemptOutcome.ERROR)))
-    assert guard.violations == {Rule.CLOSING: 2}
+    assert guard.violations == {InvariantKind.CLOSING: 2}
     assert guard.summary() == "2 violations; crossings: none"
 
 
 def test_more_than_all_may_send_to_a_server_in_slow_start_is_counted(guard: RequestInvariants) -> None:
     cold = server("s5")
-    cold.restarted(NOW - 1.0)
+    cold.record_restart(NOW - 1.0)
     for number in range(17):  # 4 + 3 x 2 + 3 in one fall time of 2 s, and 4 later
         guard.attempt_started(NOW + (number if number < 13 else 40) * 0.1, cold, 4.0)
     assert not guard.violations
     for _ in range(10):
         guard.attempt_started(NOW + 4.0, cold, 4.0)
-    assert guard.violations == {Rule.STARTING: 1}
+    assert guard.violations == {InvariantKind.STARTING: 1}
     later = server("s6")
-    later.restarted(NOW + DECODED_SETTINGS.slow_start_time)
+    later.record_restart(NOW + DECODED_SETTINGS.slow_start_time)
     guard.attempt_started(NOW + DECODED_SETTINGS.slow_start_time, later, 4.0)
     assert list(guard.sent) == [later]  # the other is warm by now
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -54,7 +54,7 @@
 
     def aggregator(self) -> Any:
         """Returns the proxy that is the aggregator, if one is."""
-        number = self.fakes[-1].balancer.view.load_reports.aggregator
+        number = self.fakes[-1].balancer.server_pool.load_reports.aggregator
         return next((fake for fake in self.fakes if fake.balancer.settings.proxy_number == number), None)
 
     def cause_faults(self) -> None:
@@ -83,7 +83,7 @@
         settings = fake.balancer.settings
         fake.timers = []
         fake.balancer = Balancer(fake, settings, 1000 + settings.proxy_number)
-        fake.receive_endpoints({f"10.0.0.{n}:80": EndpointStatus.READY for n in range(WARM)}, whole=True)
+        fake.receive_endpoints({f"10.0.0.{n}:80": EndpointStatus.READY for n in range(WARM)}, complete=True)
         fake.receive_endpoints({STARTING: EndpointStatus.READY}, started=self.starts[-1])
         self.sessions = [each for each in self.sessions if each[1] is not fake]
 
@@ -256,7 +256,7 @@
     aggregator = next(
         fake
         for fake in fakes
-        if fake.balancer.view.load_reports.aggregator == fake.balancer.settings.proxy_number
+        if fake.balancer.server_pool.load_reports.aggregator == fake.balancer.settings.proxy_number
     )
     for server in aggregator.balancer.ready_servers:
         aggregator.receive_endpoints({server.id: EndpointStatus.REMOVED})
@@ -270,7 +270,7 @@
 
 def test_proxies_without_reports_do_not_probe_a_server_in_slow_start() -> None:
     alone, reporting = (
-        FakeHost(probes_endpoints=True, may_talk_to_peers=peers, zone="a") for peers in (False, True)
+        FakeHost(probes_endpoints=True, may_message_peers=peers, zone="a") for peers in (False, True)
     )
     for fake in (alone, reporting):
         fake.receive_endpoints({STARTING: EndpointStatus.READY}, started=fake.now)
@@ -305,7 +305,7 @@
     asking = next(
         fake
         for fake in fakes
-        if fake.balancer.view.load_reports.aggregator != fake.balancer.settings.proxy_number
+        if fake.balancer.server_pool.load_reports.aggregator != fake.balancer.settings.proxy_number
     )
     asking.peers = []
     asking.receive_endpoints({server.id: EndpointStatus.REMOVED for server in asking.balancer.ready_servers})
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -35,7 +35,7 @@
     return (
         sent,
         DECODED_SETTINGS.overload_factor
-        * fakes[0].balancer.view.counts.mean()
+        * fakes[0].balancer.server_pool.counts.mean()
         * proxies
         * DECODED_SETTINGS.overload_window
         / DECODED_SETTINGS.slow_start_time,
@@ -82,7 +82,7 @@
 def test_only_server_gets_a_request_in_slow_start() -> None:
     fakes = make_fake_fleet(3, FakeHost)
     for fake in fakes:
-        fake.receive_endpoints({"s": EndpointStatus.READY}, whole=True, started=fake.now - 0.1)
+        fake.receive_endpoints({"s": EndpointStatus.READY}, complete=True, started=fake.now - 0.1)
         fake.request()
     assert sum(len(fake.calls(HostCall.START_ATTEMPT)) for fake in fakes) == 1
 
@@ -99,7 +99,7 @@
     aggregator = next(
         fake
         for fake in fakes
-        if fake.balancer.view.load_reports.aggregator == fake.balancer.settings.proxy_number
+        if fake.balancer.server_pool.load_reports.aggregator == fake.balancer.settings.proxy_number
     )
     budget = aggregator.balancer.slow_start.budget(aggregator.now, aggregator.server(cold))
     group, other = [
@@ -119,7 +119,7 @@
         fake.request(group=other)
     sent = sum(server.id == cold for fake in fakes for _, server, _ in fake.calls(HostCall.START_ATTEMPT))
     able = 0.2 + 0.8 * 6.1 / DECODED_SETTINGS.slow_start_time
-    usual = aggregator.balancer.view.load.mean()
+    usual = aggregator.balancer.server_pool.load.mean()
     allowed = (
         DECODED_SETTINGS.overload_factor
         * DECODED_SETTINGS.overload_window
@@ -136,7 +136,7 @@
     asking = next(
         fake
         for fake in fakes
-        if fake.balancer.view.load_reports.aggregator != fake.balancer.settings.proxy_number
+        if fake.balancer.server_pool.load_reports.aggregator != fake.balancer.settings.proxy_number
     )
     asking.peers = []  # its datagrams are lost
     for server in asking.balancer.ready_servers:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -19,14 +19,14 @@
     "no effect twice": overrides(
         {
             **EFFECTS_ARE_IGNORED,
-            f"{INVARIANTS}.against_repeating": "lambda *what: ''",
+            f"{INVARIANTS}.reason_not_to_repeat": "lambda *what: ''",
         }
     ),
     # Sends on to servers that drain.
     "drain": overrides(
         {
             "brambleplank.decisions.draining:DrainStage.excludes": "lambda *what: False",
-            f"{INVARIANTS}.against_sending": "lambda *what: ''",
+            f"{INVARIANTS}.reason_not_to_send": "lambda *what: ''",
         }
     ),
     # Forgets requests whose first attempt fails.
