--- a/benchmarks/upgrade_between_versions.py
+++ b/benchmarks/upgrade_between_versions.py
@@ -26,7 +26,7 @@
 from pathlib import Path
 from typing import Any, cast
 
-from tests.ports import spare_address
+from tests.ports import unused_address
 from tests.programs import Program
 from tests.sample_settings import PLATFORM_SETTINGS, endpoint_list
 from tests.stand_ins import LineConnection, StandInDiscovery, StandInServer
@@ -163,7 +163,7 @@
 @contextmanager
 def serving(trees: list[Tree], folder: Path, known: dict[str, Any]) -> Iterator[VersionedProgram]:
     """A proxy whose first process is up; all its processes are ended afterwards."""
-    mgmt = ":".join(map(str, spare_address()))
+    mgmt = ":".join(map(str, unused_address()))
     # However busy the machine is, no answer is late and no server looks overloaded for it.
     patient = [
         {**PLATFORM_SETTINGS["service_types"][0], "setup_target_us": 10_000_000, "deadline_us": 30_000_000}
--- a/brambleplank/discovery/platform/discovery.py
+++ b/brambleplank/discovery/platform/discovery.py
@@ -372,7 +372,7 @@
             self.outdated = None
         self.newest = update.version
         self.proxy.endpoints_received(update.endpoints, update.addresses, update.is_whole)
-        self.proxy.endpoints_current()
+        self.proxy.endpoint_list_confirmed()
 
     def check_order(self, update: EndpointList) -> None:
         """Raises GarbledListError for changes that cannot follow what came before."""
@@ -387,7 +387,7 @@
     def heartbeat_received(self) -> None:
         """The watch is alive, and has sent all that there is."""
         if self.version is not None and self.outdated is None:
-            self.proxy.endpoints_current()
+            self.proxy.endpoint_list_confirmed()
 
     def is_catching_up(self) -> bool:
         """Whether discovery at a new address may still be behind what is held."""
--- a/brambleplank/fleet/routing/active_routes.py
+++ b/brambleplank/fleet/routing/active_routes.py
@@ -118,12 +118,12 @@
 
         self.work(lambda: self.read(text, True), done)
 
-    def read(self, text: bytes, first_sight: bool) -> ReadTable:
+    def read(self, text: bytes, first_check: bool) -> ReadTable:
         """Reads and lints a text."""
         table, faults = route_table.read(text.decode(errors="replace"))
         if table is None:
             return ReadTable(None, list(map(str, faults)), [])
-        return ReadTable(table, [], lint(table, self.known(first_sight)))
+        return ReadTable(table, [], lint(table, self.known(first_check)))
 
     def keep(self, digest: int, table: route_table.Table) -> None:
         """Stores a prepared table, and drops the oldest beyond the limit."""
--- a/brambleplank/frontends/line/client_connections.py
+++ b/brambleplank/frontends/line/client_connections.py
@@ -15,7 +15,7 @@
 from brambleplank.frontends.line import open_line
 from brambleplank.frontends.line.upstream_connections import END, LineUpstreamConnection, whole_lines
 from brambleplank.interfaces import EndpointAddress, ResumedSession
-from brambleplank.net.buffers import LINGER, FlowControl
+from brambleplank.net.buffers import LINGER_TIMEOUT, FlowControl
 from brambleplank.net.proxy import Proxy
 from brambleplank.records import Request
 
@@ -38,7 +38,7 @@
         self.opening_line = b""  # its OPEN
         self.id = ""  # as OPEN has it, once that was taken
         self.opened_at = 0.0
-        self.answer_due = inf  # when its answer is, once it has asked
+        self.answer_deadline = inf  # when its answer is, once it has asked
         self.read_past_end = 0  # bytes
         self.request: Request | None = None
         self.upstreams: list[LineUpstreamConnection] = []  # in the order made
@@ -112,7 +112,7 @@
         if opened.server_id is not None:
             self.proxy.requests.session_resumed(self, opening, opened.server_id)
         else:
-            self.answer_due = self.opened_at + opened.wait
+            self.answer_deadline = self.opened_at + opened.wait
             self.proxy.requests.request_received(self, opening, opened.wait, opened.is_reconnecting)
 
     # What the proxy asks.
@@ -176,7 +176,7 @@
         self.proxy.admission.client_answered(self)
         self.setRawMode()
         if reset:
-            self.transport.leave(True)
+            self.transport.close_after_flush(True)
             return
         if last:
             self.sendLine(last)
@@ -184,7 +184,7 @@
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
         self.transport.resumeProducing()
-        self.setTimeout(SHORT_LINGER if code in TURNED_AWAY else LINGER)
+        self.setTimeout(SHORT_LINGER if code in TURNED_AWAY else LINGER_TIMEOUT)
 
     def timeoutConnection(self) -> None:  # noqa: N802
         """Ends a connection that has not sent its first line, or was answered and is not closed."""
@@ -260,7 +260,7 @@
         """Returns the protocol of a new connection."""
         return LineClientConnection(self.proxy)
 
-    def room(self) -> int:
+    def accept_capacity(self) -> int:
         """Returns how many connections may be accepted now."""
         return self.proxy.admission.accept_capacity()
 
--- a/brambleplank/frontends/line/session_transfer.py
+++ b/brambleplank/frontends/line/session_transfer.py
@@ -144,7 +144,7 @@
     sides = []
     for transport, partial_line in zip(transports, partial_lines, strict=True):
         descriptors.append(transport.detach())
-        sides.append(ConnectionSide(partial_line, transport.unsent()))
+        sides.append(ConnectionSide(partial_line, transport.unsent_data()))
         proxy.admission.descriptors_changed(-1)
     connected_at = proxy.admission.pending.get(client, 0.0)
     session = None
--- a/brambleplank/frontends/line/upstream_connections.py
+++ b/brambleplank/frontends/line/upstream_connections.py
@@ -16,7 +16,7 @@
 from brambleplank.net.buffers import UpstreamConnector
 from brambleplank.net.local_faults import LocalConnectError
 from brambleplank.net.loop import reactor
-from brambleplank.net.message_times import SILENT_AFTER
+from brambleplank.net.message_times import SILENCE_THRESHOLD
 from brambleplank.net.proxy import Proxy
 
 WAIT_FIELD = re.compile(rb"(?<=[ ,])d=\d+")
@@ -87,7 +87,7 @@
             # Its end is read next and ends this attempt; no server gets it, as nobody waits for it.
             self.timer = proxy.clock.call_later(wait or RESUME_TIMEOUT, self.timed_out)
             return
-        if not proxy.may_dial(self):
+        if not proxy.may_connect(self):
             self.timer = proxy.clock.call_later(0, self.end, AttemptOutcome.ABANDONED)
             return
         if self.endpoint.address is None:
@@ -122,7 +122,7 @@
             self.proxy.admission.descriptors_changed(1)
         elif self.ended or self.client.has_ended():
             self.transport.abortConnection()
-        elif not self.proxy.may_write(self):
+        elif not self.proxy.may_send_opening(self):
             self.end(AttemptOutcome.ABANDONED)
         else:
             self.sendLine(self.opening_line)
@@ -212,7 +212,7 @@
             # Flushed at the end, OPEN would begin a session that nobody waits for any more.
             self.transport.abortConnection()
         elif self.transport is not None:
-            self.transport.leave(reset)
+            self.transport.close_after_flush(reset)
         elif self.connector is not None:
             self.connector.disconnect()
 
@@ -228,7 +228,9 @@
         if self.established:
             self.client.transport.write(self.clearLineBuffer())  # a line that it left unfinished
             # A server closes on a line that it cannot read; that is the client's fault, no sign of overload.
-            unread = self.unanswered_since and self.proxy.clock.now() < self.unanswered_since + SILENT_AFTER
+            unread = (
+                self.unanswered_since and self.proxy.clock.now() < self.unanswered_since + SILENCE_THRESHOLD
+            )
             outcome = AttemptOutcome.ERROR if unread else AttemptOutcome.RESET
             self.end(FINAL_OUTCOMES.get(self.last_line, outcome), not clean)
         else:
--- a/brambleplank/interfaces.py
+++ b/brambleplank/interfaces.py
@@ -95,7 +95,7 @@
     request: Request | None
     resumed_session: ResumedSession | None  # what it goes on with, if it was open before this process
     connection_error: str  # by which its connection broke; "": it has not
-    answer_due: float  # infinite before its request, and for a resumed session
+    answer_deadline: float  # infinite before its request, and for a resumed session
 
     @property
     def id(self) -> str:
--- a/brambleplank/net/buffers.py
+++ b/brambleplank/net/buffers.py
@@ -26,7 +26,7 @@
 BACKLOG = 1024  # connections that the kernel holds ready; each may already have sent its line
 MAX_ACCEPTS = 100  # connections in one pass of the loop
 ACCEPT_RETRY_DELAY = 0.02  # seconds, where this machine could not accept
-LINGER = 1.5  # seconds that the other side has to read what is left, and to end its own side
+LINGER_TIMEOUT = 1.5  # seconds that the other side has to read what is left, and to end its own side
 
 
 class BrokenConnectionError(BrambleplankError, ConnectionLost):
@@ -42,11 +42,11 @@
         self.kept = kept
         self.free: list[bytearray] = []
 
-    def take(self) -> bytearray:
+    def acquire(self) -> bytearray:
         """Returns a buffer, which is to be given back."""
         return self.free.pop() if self.free else bytearray(BUFFER_SIZE)
 
-    def give(self, buffer: bytearray) -> None:
+    def release(self, buffer: bytearray) -> None:
         """Takes a buffer back."""
         if len(self.free) < self.kept:
             self.free.append(buffer)
@@ -65,7 +65,7 @@
 
     def doRead(self) -> Any:  # noqa: N802
         """Reads once; returns why the connection has ended, if it has."""
-        buffer = POOL.take()
+        buffer = POOL.acquire()
         try:
             try:
                 count = self.socket.recv_into(buffer)
@@ -78,7 +78,7 @@
             # Outside the inner `try`: an error of what the protocol does then is not this connection's end.
             self.protocol.dataReceived(memoryview(buffer)[:count])
         finally:
-            POOL.give(buffer)
+            POOL.release(buffer)
         return None
 
     def writeSomeData(self, data: bytes) -> Any:  # noqa: N802
@@ -94,7 +94,7 @@
             with suppress(OSError):
                 self.doWrite()  # type: ignore[attr-defined]
 
-    def leave(self, reset: bool) -> None:
+    def close_after_flush(self, reset: bool) -> None:
         """Ends the connection once all is flushed, in a reset if asked for.
 
         A reset at once would throw away lines that the other side is to get. A side that no longer reads
@@ -104,7 +104,7 @@
         self.unregisterProducer()  # type: ignore[attr-defined]
         self.loseConnection()  # type: ignore[attr-defined]
         if self.dataBuffer or self._tempDataLen:  # type: ignore[attr-defined]
-            reactor.callLater(LINGER, self.abortConnection)  # type: ignore[attr-defined]
+            reactor.callLater(LINGER_TIMEOUT, self.abortConnection)  # type: ignore[attr-defined]
 
     def detach(self) -> int:
         """Returns the descriptor of the socket, which is the caller's from here on.
@@ -118,7 +118,7 @@
         self.disconnected = 1
         return self.socket.detach()
 
-    def unsent(self) -> bytes:
+    def unsent_data(self) -> bytes:
         """Returns what was not written yet."""
         whole: Any = self
         return bytes(whole.dataBuffer[whole.offset :]) + b"".join(whole._tempDataBuffer)
@@ -208,11 +208,11 @@
         Twisted's own accepts and closes what it has no descriptor for, and would go on at once with any other
         error. What waits in the kernel until this machine's fault is over is served then.
         """
-        room = self.factory.room()
-        if room <= 0:
+        capacity = self.factory.accept_capacity()
+        if capacity <= 0:
             self.pause()
             return
-        for _ in range(min(MAX_ACCEPTS, room)):
+        for _ in range(min(MAX_ACCEPTS, capacity)):
             try:
                 accepted, address = self.socket.accept()
             except BlockingIOError:
@@ -249,7 +249,7 @@
         if not self.handed_off and not self.disconnecting and self.connected:  # type: ignore[attr-defined]
             self.startReading()  # type: ignore[attr-defined]
 
-    def give(self, given: bool) -> None:
+    def set_handed_off(self, given: bool) -> None:
         """Leaves accepting to another process of the same queue, or takes it back.
 
         Shut down as Twisted does at the end, the queue would be closed for the other process too.
--- a/brambleplank/net/clock.py
+++ b/brambleplank/net/clock.py
@@ -18,13 +18,13 @@
     """Spans run on the monotonic clock alone; its zero is set once, so that logs read as Unix time."""
 
     def __init__(self) -> None:
-        self.anchor = time.time() - time.monotonic()
-        self.date_offset = self.anchor  # of dates to the monotonic clock
+        self.epoch_offset = time.time() - time.monotonic()
+        self.date_offset = self.epoch_offset  # of dates to the monotonic clock
         self.stepped: tuple[float, float] | None = None  # an offset that is waited out, and since when
 
     def now(self) -> float:
         """Returns seconds on the monotonic clock, from a zero that lets them read as Unix time."""
-        return self.anchor + time.monotonic()
+        return self.epoch_offset + time.monotonic()
 
     @staticmethod
     def wall_time() -> float:
@@ -51,9 +51,9 @@
             self.stepped = None
         return self.date_offset + monotonic
 
-    def adopt(self, anchor: float) -> None:
+    def adopt_epoch_offset(self, epoch_offset: float) -> None:
         """Goes on by the clock of another process of this machine, so that times of both can be compared."""
-        self.anchor = anchor
+        self.epoch_offset = epoch_offset
 
     def call_later(self, delay: float, call: Callable[..., object], *what: Any) -> DelayedCall:
         """Calls after a delay in seconds."""
--- a/brambleplank/net/fleet_link.py
+++ b/brambleplank/net/fleet_link.py
@@ -25,7 +25,7 @@
 from brambleplank.net.log import LogWriter, is_logged_occurrence
 from brambleplank.net.loop import reactor
 from brambleplank.records import Server
-from brambleplank.server_tags import WIDEST, ServerTags
+from brambleplank.server_tags import MAX_TAG_WIDTH, ServerTags
 
 TICK_INTERVAL = 0.1  # seconds
 OBSERVATION_INTERVAL = 1.0  # seconds between two looks at what other members observed of servers
@@ -159,7 +159,7 @@
                 text = f"fleet: datagram of member {member} ignored, {self._ignored_datagrams} so far"
                 self._log.write_line(f"{text}: {error.with_advice()}")
 
-    def lint_context(self, first_sight: bool) -> LintContext:
+    def lint_context(self, first_check: bool) -> LintContext:
         """Returns what this process knows of its fleet, against which a table of routes is checked.
 
         `first_sight`: the table has not been checked before, so its dates are compared with the wall clock.
@@ -180,7 +180,7 @@
             },
             budget_kinds={table.name: table.of for table in tables},
             notices=self._notices,
-            wall_time=self._clock.settled_wall_time() if first_sight else None,
+            wall_time=self._clock.settled_wall_time() if first_check else None,
             retirement_steps=self._retirement_steps(),
         )
 
@@ -210,7 +210,7 @@
         if ready is not self._tagged_servers:
             self._tagged_servers = ready
             self._tags = ServerTags(ready)
-        return self._tags.servers_by_tag(WIDEST)
+        return self._tags.servers_by_tag(MAX_TAG_WIDTH)
 
     # What the proxy asks, and reports of its requests.
 
@@ -273,11 +273,11 @@
     def attempt_finished(self, server: Server, good: bool) -> None:
         """Reports how an attempt at a server went."""
         self.servers_by_tag()
-        if (tag := self._tags.tag(server, WIDEST)) is not None:
+        if (tag := self._tags.tag(server, MAX_TAG_WIDTH)) is not None:
             self.fleet.server_observer.record_attempt(self._clock.now(), tag, good)
 
 
-class FleetDatagrams(DatagramProtocol):
+class FleetDatagramProtocol(DatagramProtocol):
     """Datagrams of the members of a fleet that have an address of their own for it."""
 
     noisy = False
--- a/brambleplank/net/log.py
+++ b/brambleplank/net/log.py
@@ -12,7 +12,7 @@
 MAX_ATTEMPTS = 40  # of these, about attempts that were not established
 
 
-def plain_text(now: float, text: str, fields: dict[str, Any]) -> str:  # noqa: ARG001
+def format_plain_line(now: float, text: str, fields: dict[str, Any]) -> str:  # noqa: ARG001
     """Returns the time in Unix seconds and the text."""
     return f"{now:.3f} {text}"
 
@@ -29,7 +29,9 @@
     """Writes lines up to a limit: a storm of them would fill the pipe behind standard error, and block."""
 
     def __init__(
-        self, clock: Callable[[], float], form: Callable[[float, str, dict[str, Any]], str] = plain_text
+        self,
+        clock: Callable[[], float],
+        form: Callable[[float, str, dict[str, Any]], str] = format_plain_line,
     ) -> None:
         """`form` makes a line of a time, a text and the fields of the text."""
         self._clock = clock
--- a/brambleplank/net/message_times.py
+++ b/brambleplank/net/message_times.py
@@ -12,7 +12,7 @@
 from brambleplank.records import Server
 
 SWEEP_INTERVAL = 0.1  # seconds
-SILENT_AFTER = 1.0  # seconds after which a line without an answer is reported
+SILENCE_THRESHOLD = 1.0  # seconds after which a line without an answer is reported
 LONG_DIVISOR = 3  # a message time is long from this part of the shortest objective for messages on
 REPORT_INTERVAL = 1.0  # seconds between two reports of one server, at least
 
@@ -55,7 +55,7 @@
                 longest[upstream.endpoint] = max(
                     longest.get(upstream.endpoint, 0.0), now - upstream.unanswered_since
                 )
-                if now > upstream.unanswered_since + SILENT_AFTER:
+                if now > upstream.unanswered_since + SILENCE_THRESHOLD:
                     self._balancer.session_silent(now, client.request, now - upstream.unanswered_since)
         return longest
 
--- a/brambleplank/net/peer_link.py
+++ b/brambleplank/net/peer_link.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from brambleplank.model import Address
-from brambleplank.peer_messages import TAG_WIDTHS, PeerMessenger
+from brambleplank.peer_messages import TAG_WIDTHS_BY_FIRST_BYTE, PeerMessenger
 from brambleplank.records import Server
 from brambleplank.server_tags import ServerTags
 
@@ -55,7 +55,7 @@
         self.numbers = numbers
         self.known = {number: address for address, number in numbers.items()}
 
-    def add_reader(self, first_byte: int, read: Callable[[bytes, int], None]) -> None:
+    def add_datagram_handler(self, first_byte: int, read: Callable[[bytes, int], None]) -> None:
         """Registers who reads the datagrams of a further form, each with the number of its sender."""
         self._readers[first_byte] = read
 
@@ -76,7 +76,7 @@
         try:
             if datagram[0] in self._readers:
                 self._readers[datagram[0]](datagram, self.numbers[addr])
-            elif datagram[0] in TAG_WIDTHS:
+            elif datagram[0] in TAG_WIDTHS_BY_FIRST_BYTE:
                 self.receive(datagram, self.numbers[addr])
             else:
                 self.read_text(datagram)
--- a/brambleplank/net/proxy.py
+++ b/brambleplank/net/proxy.py
@@ -168,7 +168,7 @@
         is_any_ready = any(endpoint.status is EndpointStatus.READY for endpoint in endpoints)
         self.serving = self.serving or is_any_ready
 
-    def endpoints_current(self) -> None:
+    def endpoint_list_confirmed(self) -> None:
         """The list is complete as of now, as a sign of life from its source shows."""
         self.start_times.list_completed(self.clock.now())
 
@@ -217,7 +217,7 @@
         self.siblings.attempt_started(server)
         client.open_upstream(upstream_endpoint_of(server), max_wait)
 
-    def may_dial(self, upstream: UpstreamConnection) -> bool:
+    def may_connect(self, upstream: UpstreamConnection) -> bool:
         """Returns whether an attempt that the decisions have just asked for may begin."""
         request = upstream.client.request
         now = self.clock.now()
@@ -232,7 +232,7 @@
             )
         return True
 
-    def may_write(self, upstream: UpstreamConnection) -> bool:
+    def may_send_opening(self, upstream: UpstreamConnection) -> bool:
         """Returns whether the opening of an attempt may be written, now that its connection is up."""
         request = upstream.client.request
         if request is None:
--- a/brambleplank/net/unanswered_requests.py
+++ b/brambleplank/net/unanswered_requests.py
@@ -37,7 +37,7 @@
         self._suspects = set()
         for client in list(self._clients):
             if (
-                now < client.answer_due + MAX_ANSWER_DELAY
+                now < client.answer_deadline + MAX_ANSWER_DELAY
                 or client.end_code
                 or client.established_upstream is not None
             ):
@@ -46,6 +46,6 @@
                 self._suspects.add(client)
                 continue
             self._invariants.request_unanswered(
-                client.id, f"had no answer {now - client.answer_due:.3f} s after its time"
+                client.id, f"had no answer {now - client.answer_deadline:.3f} s after its time"
             )
             self._answer(client)
--- a/brambleplank/net/unix.py
+++ b/brambleplank/net/unix.py
@@ -15,7 +15,7 @@
 from brambleplank.net.buffers import PausableListener, PooledConnection
 
 
-class InUseError(BrambleplankError):
+class SocketPathError(BrambleplankError):
     """The path is not free; the text says why."""
 
     ADVICE = "end what listens there, or name another path"
@@ -34,7 +34,7 @@
     transport = UnixIncoming
 
 
-class SocketClaim:
+class SocketPathLock:
     """The right to a path, held by a lock beside it for as long as this process lives.
 
     Two sidecars that both found a socket left behind would otherwise each remove the other's. The kernel
@@ -46,25 +46,25 @@
         try:
             self.lock = os.open(f"{path}.lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         except OSError as error:
-            raise InUseError(f"{path}.lock: {error.strerror}") from None
+            raise SocketPathError(f"{path}.lock: {error.strerror}") from None
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             self.remove_stale_socket()
         except OSError:
             os.close(self.lock)
-            raise InUseError(f"{path}: held by a living sidecar") from None
-        except InUseError:
+            raise SocketPathError(f"{path}: held by a living sidecar") from None
+        except SocketPathError:
             os.close(self.lock)
             raise
 
     def remove_stale_socket(self) -> None:
-        """Removes a socket that a killed sidecar left at the path, and nothing else. Raises InUseError."""
+        """Removes the socket that a killed sidecar left at the path. Raises SocketPathError."""
         try:
             kind = os.lstat(self.path).st_mode
         except FileNotFoundError:
             return
         if not stat.S_ISSOCK(kind):
-            raise InUseError(f"{self.path}: there, and no socket")
+            raise SocketPathError(f"{self.path}: there, and no socket")
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as caller:
             caller.settimeout(0.2)
             try:
@@ -73,15 +73,17 @@
                 Path(self.path).unlink()
                 return
             except OSError as error:
-                raise InUseError(f"{self.path}: {error.strerror or 'does not answer'}") from None
-        raise InUseError(f"{self.path}: another program listens there")
+                raise SocketPathError(f"{self.path}: {error.strerror or 'does not answer'}") from None
+        raise SocketPathError(f"{self.path}: another program listens there")
 
     def release(self) -> None:
         """Releases the path. The lock's file stays: another process could hold a lock on a removed one."""
         os.close(self.lock)
 
 
-def unix_listener(claim: SocketClaim, factory: Any, backlog: int, mode: int, reactor: Any) -> UnixListener:
+def create_unix_listener(
+    claim: SocketPathLock, factory: Any, backlog: int, mode: int, reactor: Any
+) -> UnixListener:
     """Returns a unix_listener at a claimed path; `mode` is that of the socket's file."""
     path: Any = claim.path  # Twisted's types ask for bytes, its code takes both
     return UnixListener(path, factory, backlog, mode, reactor)
--- a/brambleplank/peer_messages.py
+++ b/brambleplank/peer_messages.py
@@ -28,9 +28,9 @@
 
 from brambleplank.errors import BrambleplankError
 from brambleplank.records import UNREPORTED_POSITION_BITS, Server
-from brambleplank.server_tags import WIDEST, WIDTHS, ServerTags
+from brambleplank.server_tags import MAX_TAG_WIDTH, TAG_WIDTHS, ServerTags
 
-TAG_WIDTHS = {1 + width: width for width in WIDTHS}  # bytes of a tag, by the first byte
+TAG_WIDTHS_BY_FIRST_BYTE = {1 + width: width for width in TAG_WIDTHS}  # bytes of a tag, by the first byte
 
 
 class SectionKind(IntEnum):
@@ -185,8 +185,8 @@
     # Reports of others.
 
     def receive(self, message: bytes, teller: Any) -> None:
-        """Takes a message that begins with one of `TAG_WIDTHS`. Raises MalformedMessageError."""
-        own_width = TAG_WIDTHS[message[0]]
+        """Reads a message whose first byte is in TAG_WIDTHS_BY_FIRST_BYTE. Raises MalformedMessageError."""
+        own_width = TAG_WIDTHS_BY_FIRST_BYTE[message[0]]
         at = 1
         while at < len(message):
             number, count = divmod(message[at], KIND_FACTOR)
@@ -225,7 +225,7 @@
 
     A permit that is taken for one of another warming server lets more connect there than it bears.
     """
-    return WIDEST if kind == SectionKind.PERMIT else own_width
+    return MAX_TAG_WIDTH if kind == SectionKind.PERMIT else own_width
 
 
 def encode_number(number: int) -> bytes:
--- a/brambleplank/platform/fleet_membership.py
+++ b/brambleplank/platform/fleet_membership.py
@@ -35,4 +35,6 @@
     except TableError as error:
         raise InvalidConfigurationError(f"fleet.routes: {fleet.routes}: {error}") from None
     proxy.requests.set_fleet_admission(fleet_link)
-    peers.add_reader(FORMAT, lambda data, number: fleet_link.datagram_received(data, number - first_number))
+    peers.add_datagram_handler(
+        FORMAT, lambda data, number: fleet_link.datagram_received(data, number - first_number)
+    )
--- a/brambleplank/platform/handoff_state.py
+++ b/brambleplank/platform/handoff_state.py
@@ -145,7 +145,7 @@
     @classmethod
     def capture(cls, proxy: Proxy) -> LifecycleState:
         """The state of this process."""
-        return cls(proxy.draining, proxy.serving, proxy.started_at, proxy.clock.anchor)
+        return cls(proxy.draining, proxy.serving, proxy.started_at, proxy.clock.epoch_offset)
 
     def encode(self) -> dict[str, Any]:
         """The stored form, as plain values for JSON."""
@@ -299,7 +299,7 @@
     def restore(self, proxy: Proxy, discovery: Discovery) -> None:
         """Sets this process to the state; it has received no list yet."""
         if self.lifecycle.clock_anchor is not None:
-            proxy.clock.adopt(self.lifecycle.clock_anchor)
+            proxy.clock.adopt_epoch_offset(self.lifecycle.clock_anchor)
         proxy.start_times.starts = dict(self.start_times)
         self.rotation.restore(proxy.rotation)
         discovery.begin(self.endpoints.encoded_list, self.endpoints.discovery)
--- a/brambleplank/platform/run.py
+++ b/brambleplank/platform/run.py
@@ -153,7 +153,7 @@
     def accept_clients(self, accept: bool) -> None:
         """Clients, and datagrams of other proxies, come to this process, or to the next one."""
         self.proxy.siblings.set_has_successor(not accept)
-        self.client_port.give(not accept)
+        self.client_port.set_handed_off(not accept)
         if self.peer_port is None:
             return
         if accept:
--- a/brambleplank/server_tags.py
+++ b/brambleplank/server_tags.py
@@ -13,8 +13,8 @@
 
 from brambleplank.records import Server
 
-WIDTHS = (2, 3, 4)  # bytes of a tag
-WIDEST = 4  # where a wrong server would break a rule: one collision is likely in some 65,000 servers
+TAG_WIDTHS = (2, 3, 4)  # bytes of a tag
+MAX_TAG_WIDTH = 4  # where a wrong server would break a rule: one collision is likely in some 65,000 servers
 MAX_CROWDING = 1 / 16  # of the tags of a width, the most that the square of the number of servers may be
 
 
@@ -32,10 +32,10 @@
         A width that is just enough would often name another server to a process whose list is newer.
         """
         count = len(self.by_id)
-        for width in WIDTHS:
+        for width in TAG_WIDTHS:
             if count**2 <= MAX_CROWDING * 256**width and len(self.servers_by_tag(width)) == count:
                 return width
-        return WIDEST
+        return MAX_TAG_WIDTH
 
     def servers_by_tag(self, width: int) -> dict[int, Server]:
         """Returns the servers by their tags of so many bytes, without those that share one."""
@@ -56,9 +56,9 @@
 
     def ambiguous_servers(self) -> list[Server]:
         """Returns the servers that not even the widest tags tell apart."""
-        if self.width != WIDEST:
+        if self.width != MAX_TAG_WIDTH:
             return []
-        named = set(self.servers_by_tag(WIDEST).values())
+        named = set(self.servers_by_tag(MAX_TAG_WIDTH).values())
         return [server for server in self.by_id.values() if server not in named]
 
 
--- a/brambleplank/sidecar/run.py
+++ b/brambleplank/sidecar/run.py
@@ -24,11 +24,11 @@
 from brambleplank.net.clock import Clock
 from brambleplank.net.descriptors import raise_descriptor_limit
 from brambleplank.net.faults import log_unhandled_exceptions
-from brambleplank.net.log import LogWriter, plain_text
+from brambleplank.net.log import LogWriter, format_plain_line
 from brambleplank.net.loop import reactor
 from brambleplank.net.proxy import Proxy
 from brambleplank.net.signals import EarlyReload, block_exit_signals
-from brambleplank.net.unix import InUseError, SocketClaim, unix_listener
+from brambleplank.net.unix import SocketPathError, SocketPathLock, create_unix_listener
 from brambleplank.sidecar import file_changes
 from brambleplank.sidecar.application import Application, notify
 from brambleplank.sidecar.endpoint_sources import StaticEndpoints, endpoint_source
@@ -88,7 +88,7 @@
         clock = Clock()
         self.proxy = Proxy(
             clock,
-            LogWriter(clock.now, as_json() if self.file.log.form == "json" else plain_text),
+            LogWriter(clock.now, as_json() if self.file.log.form == "json" else format_plain_line),
             loaded.settings,
             secrets.randbits(64),
             self.file.limits.descriptors,
@@ -114,13 +114,13 @@
         if self.file.fleet is None:
             return
         from brambleplank.fleet.shapes import decode_fleet_settings
-        from brambleplank.net.fleet_link import FleetDatagrams, FleetLink
+        from brambleplank.net.fleet_link import FleetDatagramProtocol, FleetLink
 
         folder = str(Path(self.loaded.path).parent)
         settings = decode_fleet_settings(self.file.fleet, self.file.number, self.file.sidecars, folder)
         assert settings.listen is not None
         proxy = self.proxy
-        datagrams = FleetDatagrams(
+        datagrams = FleetDatagramProtocol(
             settings.addresses, settings.number, lambda number: proxy.local_faults.record("sendto", number)
         )
         self.fleet_datagrams = datagrams
@@ -137,13 +137,13 @@
         datagrams.set_receiver(link.datagram_received)
 
     def listen(self) -> None:
-        """Listens where the application connects. Raises InUseError, or Twisted's CannotListenError."""
+        """Listens where the application connects. Raises SocketPathError, or Twisted's CannotListenError."""
         clients: Any = LineFrontend(self.proxy)
         listen = self.file.listen
         listener: Any
         if listen.socket is not None:
-            claim = SocketClaim(listen.socket)
-            listener = unix_listener(claim, clients, BACKLOG, int(listen.mode, 8), reactor)
+            claim = SocketPathLock(listen.socket)
+            listener = create_unix_listener(claim, clients, BACKLOG, int(listen.mode, 8), reactor)
         else:
             host, port = addresses.read(listen.address or "") or ("", 0)
             listener = ClientListener(port, clients, BACKLOG, host, reactor)
@@ -331,7 +331,7 @@
     try:
         sidecar.share()
         sidecar.listen()
-    except InUseError as problem:
+    except SocketPathError as problem:
         return f"listen.socket: {problem}"
     except (BrambleplankError, OSError) as problem:
         return f"fleet.routes: {problem}"
--- a/brambleplank/wirehost/simulated_proxy.py
+++ b/brambleplank/wirehost/simulated_proxy.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from brambleplank.decisions.balancer import Balancer
-from brambleplank.peer_messages import TAG_WIDTHS, PeerMessenger
+from brambleplank.peer_messages import TAG_WIDTHS_BY_FIRST_BYTE, PeerMessenger
 from brambleplank.records import Request, Server
 from brambleplank.server_tags import ServerTags
 from brambleplank.settings import MICRO, decode_settings, known
@@ -126,7 +126,7 @@
         """Handles a message of another proxy; one of an unknown form is ignored, as of another build."""
         try:
             message = b85decode(text)
-            if message and message[0] in TAG_WIDTHS:
+            if message and message[0] in TAG_WIDTHS_BY_FIRST_BYTE:
                 self.now = now
                 self.messenger.receive(message, peer)
         except ValueError:
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,7 +1,7 @@
 """Faults of the machine on a real process: system calls that fail or come short, a stepped wall clock.
 
-`install` runs in the process under test, ahead of the program. `Faults` is the test's side: it writes what is
-to fail into a file and sends SIGUSR1, upon which the process reads it. Nothing outside that process changes.
+`install` runs in the process under test, first. `FaultInjector` is the test's side: it writes the
+fault plan to a file and sends SIGUSR1, upon which the process reads the plan. No other process is affected.
 """
 
 from __future__ import annotations
@@ -129,7 +129,7 @@
     socket.socket = FaultySocket  # type: ignore[misc]
 
 
-class Faults:
+class FaultInjector:
     """The test's side of one process's plan."""
 
     def __init__(self, folder: Path, **fields: Any) -> None:
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -12,7 +12,7 @@
 PORTS = count(10_000 + os.getpid() * 37 % 20_000)
 
 
-def spare_address() -> tuple[str, int]:
+def unused_address() -> tuple[str, int]:
     """Returns an address that nobody listens on."""
     while True:
         address = ("127.0.0.1", next(PORTS))
@@ -20,9 +20,9 @@
             return address
 
 
-def spare_udp_address() -> tuple[str, int]:
+def unused_udp_address() -> tuple[str, int]:
     """Returns an address for datagrams; its host is this process's own, as other tests use the same ports."""
-    return f"127.{1 + os.getpid() % 250}.{os.getpid() // 250 % 250}.1", spare_address()[1]
+    return f"127.{1 + os.getpid() % 250}.{os.getpid() // 250 % 250}.1", unused_address()[1]
 
 
 def udp_socket() -> socket.socket:
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -17,7 +17,7 @@
 
 from brambleplank.sidecar import writer
 from brambleplank.sidecar.shapes import Listen, Servers
-from tests.ports import spare_address
+from tests.ports import unused_address
 from tests.sample_settings import PLATFORM_SETTINGS, endpoint_list
 from tests.stand_ins import LineConnection, StandInDiscovery
 from tests.waiting import TEST_TIMEOUT
@@ -46,7 +46,7 @@
     def __init__(self, folder: Path, known: dict[str, Any], patch: str = "", **changes: Any) -> None:
         self.discovery = StandInDiscovery()
         self.socket_path = ""
-        self.address = spare_address()
+        self.address = unused_address()
         self.config: dict[str, Any] = {
             "name": "n1",
             "listen": f"127.0.0.1:{self.address[1]}",
@@ -122,7 +122,7 @@
         """Returns the next process of the same proxy, with an address of its own for operators."""
         successor = copy.copy(self)
         self.successors.append(successor)
-        successor.config = {**self.config, "mgmt": ":".join(map(str, spare_address())), **changes}
+        successor.config = {**self.config, "mgmt": ":".join(map(str, unused_address())), **changes}
         successor.config_path = self.config_path.with_name(f"config{len(self.successors)}.json")
         successor.config_path.write_text(json.dumps(successor.config))
         successor.log_lines = []
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 from random import Random
 
-from tests.ports import address_text, spare_udp_address, udp_socket
+from tests.ports import address_text, udp_socket, unused_udp_address
 
 POLL_INTERVAL = 0.1  # seconds
 LARGEST_DATAGRAM = 65536  # bytes
@@ -30,7 +30,7 @@
         self.max_delay = 0.0
         self.datagram_count = 0
         self.rng = Random(1)
-        self.member_addresses = [spare_udp_address() for _ in range(members)]
+        self.member_addresses = [unused_udp_address() for _ in range(members)]
         # The socket at [member][other] has the address by which the member knows the other.
         self.peer_sockets = [[udp_socket() for _ in range(members)] for _ in range(members)]
         self.broadcast_sockets = [udp_socket() for _ in range(members)]
--- a/tests/soak/proxies.py
+++ b/tests/soak/proxies.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.faults import Faults, ignore_plan_signals
+from tests.faults import FaultInjector, ignore_plan_signals
 from tests.overrides import override
 from tests.soak.discovery import DiscoveryAgent
 from tests.soak.records import ProcessRun, Records, Span
@@ -49,7 +49,7 @@
         self.records = records
         self.patch = patch
         folder.mkdir(parents=True, exist_ok=True)
-        self.faults = Faults(folder)
+        self.faults = FaultInjector(folder)
         self.fault_plan: dict[str, Any] = {}
         self.config: dict[str, Any] = {}
         self.process: subprocess.Popen[bytes] | None = None
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.overrides import override
-from tests.ports import spare_address
+from tests.ports import unused_address
 from tests.programs import Program, start_process
 from tests.sample_settings import PLATFORM_SETTINGS, endpoint_list
 from tests.stand_ins import StandInDiscovery, StandInServer
@@ -180,7 +180,7 @@
 
 @pytest.mark.parametrize("held", ["listen", "peer_listen"])
 def test_start_waits_for_an_address_in_use(start_program: StartProgram, held: str) -> None:
-    where = spare_address()
+    where = unused_address()
     kind = socket.SOCK_STREAM if held == "listen" else socket.SOCK_DGRAM
     before = socket.socket(socket.AF_INET, kind)
     before.bind(where)
@@ -188,7 +188,7 @@
         before.listen()
     address = f"127.0.0.1:{where[1]}"
     settings = {**PLATFORM_SETTINGS, "policy_limits": {**PLATFORM_SETTINGS["policy_limits"], "peers": True}}
-    own = f"127.0.0.1:{spare_address()[1]}" if held == "listen" else address
+    own = f"127.0.0.1:{unused_address()[1]}" if held == "listen" else address
     program = start_program(
         fleet(StandInServer()),
         settings=settings,
--- a/tests/test_fault_plans.py
+++ b/tests/test_fault_plans.py
@@ -8,7 +8,7 @@
 import time
 from pathlib import Path
 
-from tests.faults import Faults, ignore_plan_signals
+from tests.faults import FaultInjector, ignore_plan_signals
 from tests.waiting import TEST_TIMEOUT, wait_until
 
 PLANS = 200
@@ -17,7 +17,7 @@
 
 def test_plans_in_quick_series_from_the_first_instant_on_end_at_the_last(tmp_path: Path) -> None:
     # Guards against a soak whose proxy is ended by SIGUSR1, or goes on by a plan that was replaced.
-    faults = Faults(tmp_path)
+    faults = FaultInjector(tmp_path)
     command = [sys.executable, "-c", f"{faults.patch}\n{IDLE}"]
     process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True, preexec_fn=ignore_plan_signals)
     acknowledged = tmp_path / f"faults.json.{process.pid}"
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -23,7 +23,7 @@
 from brambleplank.sidecar import writer
 from brambleplank.tables import Seconds
 from tests.client_load import ClientLoad, RequestOutcome, most_concurrent, most_served_within, send_request
-from tests.ports import spare_udp_address
+from tests.ports import unused_udp_address
 from tests.process_fleet import SHORT_TIMERS, MemberProcess, ProcessFleet, budget_table
 from tests.programs import SIDECAR_CODE, start_process
 from tests.sample_settings import PLATFORM_SETTINGS
@@ -266,7 +266,7 @@
 
 def test_sidecars_share_a_budget(fleets: Fleets, tmp_path: Path) -> None:
     fleet = fleets(2)
-    listens = [":".join(map(str, spare_udp_address())) for _ in range(2)]
+    listens = [":".join(map(str, unused_udp_address())) for _ in range(2)]
     for n, member in enumerate(fleet.members):
         member.kill()
         file = writer.from_platform(member.config)
@@ -515,7 +515,7 @@
     member = fleet.members[0]
     member.kill()
     file = writer.from_platform(member.config)
-    listen = ":".join(map(str, spare_udp_address()))
+    listen = ":".join(map(str, unused_udp_address()))
     file.fleet = FleetTable(listen, [listen], True, "maps.routes.toml")
     path = tmp_path / "maps.toml"
     writer.replace(path, writer.text(file))
--- a/tests/test_golden_forms.py
+++ b/tests/test_golden_forms.py
@@ -29,11 +29,11 @@
 from brambleplank.records import Server
 from brambleplank.server_tags import ServerTags
 from brambleplank.settings import decode_settings
-from tests.ports import spare_address
+from tests.ports import unused_address
 from tests.programs import Program
 from tests.sample_settings import PLATFORM_SETTINGS, endpoint_list
 from tests.stand_ins import StandInServer
-from tests.test_operating import caller
+from tests.test_operating import operator_connection
 
 GOLDEN = Path(__file__).parent / "golden"
 NOW = 1_700_000_100.0
@@ -48,7 +48,7 @@
     """Stands for the clock of a process: its time does not pass, its timers never fire."""
 
     def __init__(self) -> None:
-        self.anchor = 0.0
+        self.epoch_offset = 0.0
 
     def now(self) -> float:
         return NOW
@@ -56,8 +56,8 @@
     def wall_time(self) -> float:
         return NOW
 
-    def adopt(self, anchor: float) -> None:
-        self.anchor = anchor
+    def adopt_epoch_offset(self, epoch_offset: float) -> None:
+        self.epoch_offset = epoch_offset
 
     def call_later(self, delay: float, call: Callable[..., object], *what: Any) -> Any:
         return SimpleNamespace(active=lambda: False, cancel=lambda: None)
@@ -87,7 +87,7 @@
     stored = golden("handoff.json")
     proxy, discovery = process()
     HandoffState.decode(stored).restore(proxy, discovery)
-    assert proxy.clock.anchor == ANCHOR
+    assert proxy.clock.epoch_offset == ANCHOR
     assert proxy.started_at == NOW - 50 and proxy.serving and not proxy.draining
     assert proxy.start_times.starts == {"s1": (NOW - 7.5, NOW - 8.25), "s3": (NOW - 600.0, NOW - 601.0)}
     assert proxy.rotation.out_since == {"s2": NOW - 30.0}
@@ -268,14 +268,14 @@
 
 @pytest.fixture
 def program(start_program: Callable[..., Program]) -> Program:
-    host, port = spare_address()
+    host, port = unused_address()
     return start_program(endpoint_list(41, True, s0=StandInServer().address), mgmt=f"{host}:{port}")
 
 
 def test_operators_calls_are_answered_as_before(program: Program) -> None:
     answers = []
     for call, _ in golden("operator-answers.json"):
-        line = caller(program)
+        line = operator_connection(program)
         line.send_line(f"{call} HTTP/1.1\r\nHost: here\r\n")
         text = line.file.read().decode()
         answers.append([call, [part for part in text.split("\r\n") if not part.startswith("Date: ")]])
--- a/tests/test_handoff_state.py
+++ b/tests/test_handoff_state.py
@@ -100,9 +100,9 @@
 def test_wall_clock_step_moves_no_time_of_the_state() -> None:
     state = make_state()
     proxy, discovery = make_proxy()
-    proxy.clock.anchor -= 3600.0  # the next process has read a wall clock that was set back by an hour
+    proxy.clock.epoch_offset -= 3600.0  # the next process has read a wall clock that was set back by an hour
     HandoffState.decode(state).restore(proxy, discovery)
-    assert proxy.clock.anchor == state["clock"]
+    assert proxy.clock.epoch_offset == state["clock"]
     assert proxy.balancer.servers["s1"].unready_since == 77.0
     assert proxy.start_times.starts == {name: tuple(start) for name, start in state["starts"].items()}
 
@@ -110,9 +110,9 @@
 def test_state_of_an_older_build_without_clock_is_adopted() -> None:
     state = {key: value for key, value in make_state().items() if key not in ("clock", "starts")}
     proxy, discovery = make_proxy()
-    before = proxy.clock.anchor
+    before = proxy.clock.epoch_offset
     HandoffState.decode(state).restore(proxy, discovery)
-    assert proxy.clock.anchor == before and proxy.serving
+    assert proxy.clock.epoch_offset == before and proxy.serving
 
 
 STARTS = st.sampled_from([0.0, 1.5, 1796158806.319])
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -16,14 +16,13 @@
 
 import pytest
 
-from brambleplank.net.fleet_link import FleetDatagrams
-from tests.faults import Faults
-from tests.ports import spare_address
+from brambleplank.net.fleet_link import FleetDatagramProtocol
+from tests.faults import FaultInjector
+from tests.ports import unused_address
 from tests.programs import Program, start_process
 from tests.sample_settings import PLATFORM_SETTINGS, endpoint_list
 from tests.stand_ins import StandInDiscovery, StandInServer
-from tests.test_operating import call as operate
-from tests.test_operating import operated
+from tests.test_operating import send_command, start_operable_program
 from tests.waiting import TEST_TIMEOUT
 
 StartProgram = Callable[..., Program]
@@ -52,7 +51,7 @@
 def test_a_step_of_the_wall_clock_moves_no_deadline(
     start_program: StartProgram, tmp_path: Path, step: float
 ) -> None:
-    faults = Faults(tmp_path)
+    faults = FaultInjector(tmp_path)
     silent = StandInServer(None)
     program = start_program(fleet([silent]), patch=faults.patch)
     client = program.open_request(traffic_class="order", deadline_ms=900)
@@ -69,7 +68,7 @@
 def test_a_server_that_has_just_started_is_cold_whatever_the_wall_clock_says(
     start_program: StartProgram, tmp_path: Path, at_start: float, later: float
 ) -> None:
-    faults = Faults(tmp_path, wall=at_start)
+    faults = FaultInjector(tmp_path, wall=at_start)
     servers = [StandInServer() for _ in range(5)]
     rules = {**PLATFORM_SETTINGS["rules"], "overload_factor": 1.5, "cold_from": 0.1}
     settings = {**PLATFORM_SETTINGS, "rules": rules}
@@ -91,7 +90,7 @@
 def test_connections_wait_in_the_kernel_while_accept_fails(
     start_program: StartProgram, tmp_path: Path
 ) -> None:
-    faults = Faults(tmp_path)
+    faults = FaultInjector(tmp_path)
     program = start_program(fleet([StandInServer(), StandInServer()]), patch=faults.patch)
     assert answers(program, 1) == ["UP r1"]
     for name in ("EMFILE", "ENFILE", "ENOBUFS", "ECONNABORTED"):
@@ -105,20 +104,20 @@
 def test_start_survives_a_transient_socket_failure(
     start_program: StartProgram, tmp_path: Path, name: str
 ) -> None:
-    faults = Faults(tmp_path, fail={"socket": (0.7, name)})
+    faults = FaultInjector(tmp_path, fail={"socket": (0.7, name)})
     limits = {**PLATFORM_SETTINGS["policy_limits"], "peers": True}
-    operators = ":".join(map(str, spare_address()))
+    operators = ":".join(map(str, unused_address()))
     program = start_program(
         fleet([StandInServer()]),
         patch=faults.patch,
         settings={**PLATFORM_SETTINGS, "balancers": 2, "policy_limits": limits},
-        peer_listen=":".join(map(str, spare_address())),
+        peer_listen=":".join(map(str, unused_address())),
         peers=["127.0.0.1:9", "127.0.0.1:10"],
         peers_all="127.0.0.1:10",
         mgmt=operators,
     )
     assert program.open_request().read_line() == "UP r1"
-    assert operate(program, "/-/ready", "GET") == 200
+    assert send_command(program, "/-/ready", "GET") == 200
 
 
 def pairs() -> tuple[socket.socket, str]:
@@ -133,7 +132,7 @@
 def test_unsent_datagram_does_not_affect_others(
     start_program: StartProgram, tmp_path: Path, name: str
 ) -> None:
-    faults = Faults(tmp_path)
+    faults = FaultInjector(tmp_path)
     server = StandInServer()
     other, address = pairs()
     limits = {**PLATFORM_SETTINGS["policy_limits"], "peers": True, "may_probe": True}
@@ -141,7 +140,7 @@
         fleet([server]),
         patch=faults.patch,
         settings={**PLATFORM_SETTINGS, "balancers": 2, "policy_limits": limits},
-        peer_listen=":".join(map(str, spare_address())),
+        peer_listen=":".join(map(str, unused_address())),
         peers=["127.0.0.1:9", address],
         peers_all=address,
     )
@@ -169,7 +168,7 @@
             raise OSError(errno.EHOSTUNREACH, "no route")
         told_to.append(address)
 
-    datagrams = FleetDatagrams(addresses, 0)
+    datagrams = FleetDatagramProtocol(addresses, 0)
     datagrams.transport = SimpleNamespace(write=write)
     datagrams.send(b"all", None)
     assert told_to == [addresses[2]]
@@ -182,7 +181,7 @@
 def test_local_connect_failure_is_no_evidence_against_servers(
     start_program: StartProgram, tmp_path: Path, call: str, name: str
 ) -> None:
-    faults = Faults(tmp_path)
+    faults = FaultInjector(tmp_path)
     program = start_program(fleet([StandInServer() for _ in range(4)]), patch=faults.patch)
     assert answers(program, 1) == ["UP r1"]
     faults.set(program.process, fail={call: (0.5, name)})
@@ -198,7 +197,7 @@
 def test_lasting_local_fault_is_answered_in_time_with_bounded_retries(
     start_program: StartProgram, tmp_path: Path
 ) -> None:
-    faults = Faults(tmp_path)
+    faults = FaultInjector(tmp_path)
     server = StandInServer()
     program = start_program(fleet([server]), patch=faults.patch)
     assert answers(program, 1) == ["UP r1"]
@@ -217,15 +216,17 @@
 ) -> None:
     one = StandInServer("UP one")
     other = StandInServer("UP other")
-    program = operated(start_program, one, other)
-    assert operate(program, "/-/ready", "GET") == 200
+    program = start_operable_program(start_program, one, other)
+    assert send_command(program, "/-/ready", "GET") == 200
     words = next(tmp_path.glob("*.sock")).with_suffix(".words")
     in_the_way = Path(f"{words}.{program.process.pid}.new")
     in_the_way.mkdir()
-    assert operate(program, "/-/servers/s0/disable") == 503  # done here, and lost if this process is killed
+    assert (
+        send_command(program, "/-/servers/s0/disable") == 503
+    )  # done here, and lost if this process is killed
     in_the_way.rmdir()
     program.next_log_line("operator: written")
-    assert operate(program, "/-/servers/s0/disable") == 200
+    assert send_command(program, "/-/servers/s0/disable") == 200
     program.process.kill()
     program.process.wait()
     program.process = start_process(program.config_path)
@@ -236,7 +237,7 @@
 def test_a_connection_that_breaks_is_logged_with_its_error(
     start_program: StartProgram, tmp_path: Path
 ) -> None:
-    faults = Faults(tmp_path)
+    faults = FaultInjector(tmp_path)
     program = start_program(fleet([StandInServer()]), patch=faults.patch)
     client = program.open_request()
     assert client.read_line() == "UP r1"
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests.ports import spare_address
+from tests.ports import unused_address
 from tests.programs import Program, program_factory
 from tests.sample_settings import PLATFORM_SETTINGS, endpoint_list
 from tests.stand_ins import LineConnection, StandInDiscovery, StandInServer
@@ -21,14 +21,14 @@
 StartProgram = Callable[..., Program]
 
 
-def operated(start_program: StartProgram, *servers: StandInServer, **changes: Any) -> Program:
+def start_operable_program(start_program: StartProgram, *servers: StandInServer, **changes: Any) -> Program:
     """A program that operators may call."""
-    host, port = spare_address()
+    host, port = unused_address()
     known = endpoint_list(41, True, **{f"s{i}": server.address for i, server in enumerate(servers)})
     return start_program(known, mgmt=f"{host}:{port}", **changes)
 
 
-def caller(program: Program) -> LineConnection:
+def operator_connection(program: Program) -> LineConnection:
     host, port = program.config["mgmt"].rsplit(":", 1)
     while True:
         try:
@@ -37,9 +37,9 @@
             assert program.process.poll() is None, program.remaining_log()  # not up yet
 
 
-def call(program: Program, path: str, method: str = "PUT") -> int:
+def send_command(program: Program, path: str, method: str = "PUT") -> int:
     """The status that a call is answered with; the connection ends after it."""
-    line = caller(program)
+    line = operator_connection(program)
     line.send_line(f"{method} {path} HTTP/1.1\r\nHost: here\r\n")
     answer = line.file.read().decode()
     assert "Connection: close" in answer and answer.endswith("\n")
@@ -50,17 +50,23 @@
     start_program: StartProgram,
 ) -> None:
     one, other = StandInServer("UP one"), StandInServer("UP other")
-    program = operated(start_program, one, other)
+    program = start_operable_program(start_program, one, other)
     _, watch = program.discovery.accept_watch()
     standing = [program.open_request(f"{key:x}") for key in range(16)]
     assert {client.read_line() for client in standing} == {"UP one", "UP other"}
-    assert call(program, "/-/servers/s0/disable") == call(program, "/-/servers/s%30/disable") == 200
+    assert (
+        send_command(program, "/-/servers/s0/disable")
+        == send_command(program, "/-/servers/s%30/disable")
+        == 200
+    )
     both = {"s0": one.address, "s1": other.address}
     for seq, listed in enumerate(({"s0": one.address}, {"s1": other.address}, both), 42):
         StandInDiscovery.send_text(watch, json.dumps(endpoint_list(seq, seq != 42, **listed)))
         assert {program.open_request(f"{key:x}").read_line() for key in range(16)} == {"UP other"}
-    assert call(program, "/-/servers/s9/disable") == call(program, "/-/servers/s9/enable") == 404
-    assert call(program, "/-/servers/s0/enable") == 200
+    assert (
+        send_command(program, "/-/servers/s9/disable") == send_command(program, "/-/servers/s9/enable") == 404
+    )
+    assert send_command(program, "/-/servers/s0/enable") == 200
     while program.open_request("ab").read_line() != "UP one":
         pass
     assert program.stop().count("end moved") >= one.opening_count - 1
@@ -70,10 +76,10 @@
     start_program: StartProgram,
 ) -> None:
     server = StandInServer()
-    program = operated(start_program, server)
+    program = start_operable_program(start_program, server)
     front, client = program.connect("PING"), program.open_request()
     assert (front.read_line(), client.read_line()) == ("PONG", "UP r1")
-    assert [call(program, f"/-/{word}") for word in ("resume", "drain", "drain")] == [200] * 3
+    assert [send_command(program, f"/-/{word}") for word in ("resume", "drain", "drain")] == [200] * 3
     front.send_line("PING")
     late = program.open_request()
     assert (front.read_line(), late.read_line()) == ("NO", "UP r1")
@@ -83,7 +89,7 @@
         "MOVE",
         "",
     )
-    assert call(program, "/-/ready", "GET") == call(program, "/-/resume") == 200
+    assert send_command(program, "/-/ready", "GET") == send_command(program, "/-/resume") == 200
     front.send_line("PING")
     stays = program.open_request()
     assert (front.read_line(), stays.read_line()) == ("PONG", "UP r1")
@@ -117,8 +123,8 @@
 def test_a_call_is_answered_once_whatever_is_said_and_however_it_is_cut(
     start_program: StartProgram, said: bytes, status: int
 ) -> None:
-    program = operated(start_program, StandInServer())
-    whole, cut = caller(program), caller(program)
+    program = start_operable_program(start_program, StandInServer())
+    whole, cut = operator_connection(program), operator_connection(program)
     whole.socket.sendall(said)
     assert int(whole.file.read().split(b" ")[1]) == status
     for byte in said[:60]:
@@ -132,9 +138,9 @@
 def test_a_call_is_answered_in_time_while_hundreds_of_clients_say_what_they_can(
     start_program: StartProgram,
 ) -> None:
-    program = operated(start_program, StandInServer(), limits={"cores": 1.0, "sockets": 400})
-    assert call(program, "/-/ready", "GET") == 200
-    silent, ends = [caller(program) for _ in range(4)], threading.Event()
+    program = start_operable_program(start_program, StandInServer(), limits={"cores": 1.0, "sockets": 400})
+    assert send_command(program, "/-/ready", "GET") == 200
+    silent, ends = [operator_connection(program) for _ in range(4)], threading.Event()
 
     def shout() -> None:
         while not ends.is_set():
@@ -150,7 +156,7 @@
     try:
         for word in ("drain", "resume") * 5:
             began = time.monotonic()
-            assert call(program, f"/-/{word}") == 200 and time.monotonic() < began + 1.0
+            assert send_command(program, f"/-/{word}") == 200 and time.monotonic() < began + 1.0
     finally:
         ends.set()
         for thread in crowd:
@@ -161,14 +167,14 @@
 def test_a_stop_amid_a_drain_ends_it_and_a_resume_amid_moving_keeps_who_is_left(
     start_program: StartProgram,
 ) -> None:
-    program = operated(start_program, StandInServer())
+    program = start_operable_program(start_program, StandInServer())
     clients = [program.open_request(f"{key:x}") for key in range(24)]
     assert {client.read_line() for client in clients} == {"UP r1"}
-    assert call(program, "/-/drain") == 200
+    assert send_command(program, "/-/drain") == 200
     program.next_log_line("end moved")
-    assert call(program, "/-/resume") == 200
+    assert send_command(program, "/-/resume") == 200
     time.sleep(2.0)  # as long as a drain may take
-    assert call(program, "/-/drain") == call(program, "/-/drain") == 200
+    assert send_command(program, "/-/drain") == send_command(program, "/-/drain") == 200
     said = program.stop()
     assert program.process.returncode == 0 and "operator: drain (it was)" in said
     before, _, after = said.partition("operator: resume")
@@ -180,18 +186,22 @@
 def test_with_every_server_out_flows_are_answered_at_once_and_the_proxy_stays_ready(
     start_program: StartProgram,
 ) -> None:
-    program = operated(start_program, StandInServer(), StandInServer())
-    assert call(program, "/-/servers/s0/disable") == call(program, "/-/servers/s1/disable") == 200
+    program = start_operable_program(start_program, StandInServer(), StandInServer())
+    assert (
+        send_command(program, "/-/servers/s0/disable")
+        == send_command(program, "/-/servers/s1/disable")
+        == 200
+    )
     began = time.monotonic()
     assert program.open_request().read_line().startswith("BUSY") and time.monotonic() < began + 0.5
-    assert call(program, "/-/ready", "GET") == 200
+    assert send_command(program, "/-/ready", "GET") == 200
 
 
 def test_callers_that_say_nothing_do_not_keep_others_from_being_answered(start_program: StartProgram) -> None:
-    program = operated(start_program, StandInServer())
-    silent = [caller(program) for _ in range(40)]
+    program = start_operable_program(start_program, StandInServer())
+    silent = [operator_connection(program) for _ in range(40)]
     silent[-1].socket.sendall(b"PUT /-/dra")
-    assert call(program, "/-/ready", "GET") == 200
+    assert send_command(program, "/-/ready", "GET") == 200
     assert silent[0].read_line().startswith("HTTP/1.1 503")
 
 
@@ -207,7 +217,7 @@
     start_program: StartProgram,
 ) -> None:
     one, other = StandInServer(None), StandInServer(None)
-    program = operated(start_program, one, other, settings=settings(feed={}, old={}))
+    program = start_operable_program(start_program, one, other, settings=settings(feed={}, old={}))
     waits = program.open_request(traffic_class="old", deadline_ms=1800)
     assert waits.socket.getpeername() and program.connect("PING").read_line() == "PONG"
     said = program.reload(settings=settings(1, feed={"effect": "once"}, new={}))
@@ -269,7 +279,7 @@
 def standing(tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[Program, dict[str, Any]]]:
     """One program for all broken files, and its sound one: none of them may change anything for the next."""
     for run in program_factory(tmp_path_factory.mktemp("broken"), Program):
-        program = operated(run, StandInServer())
+        program = start_operable_program(run, StandInServer())
         assert program.open_request().read_line() == "UP r1"
         yield program, dict(program.config)
 
@@ -291,7 +301,7 @@
 def test_two_calls_to_read_again_in_one_instant_end_at_what_the_file_says(
     start_program: StartProgram,
 ) -> None:
-    program = operated(start_program, StandInServer())
+    program = start_operable_program(start_program, StandInServer())
     assert program.open_request().read_line() == "UP r1"
     for name in ("new", "newer"):
         program.config["settings"] = settings(**{"feed": {}, name: {}})
@@ -320,7 +330,7 @@
     server = Probed()
     near = {**PLATFORM_SETTINGS, "az": "a"}
     allowed = {**near, "policy_limits": {**PLATFORM_SETTINGS["policy_limits"], "may_probe": True}}
-    program = operated(start_program, server, settings=near)
+    program = start_operable_program(start_program, server, settings=near)
     assert program.connect("PING").read_line() == "PONG"
     assert "taken up: settings.policy_limits.may_probe" in program.reload(settings=allowed)
     assert server.next_opening()[0] == "PING"
@@ -330,7 +340,7 @@
 
 def test_counts_and_reasons_of_what_was_done_can_be_read(start_program: StartProgram) -> None:
     one, other = StandInServer("ERR"), StandInServer("UP other")
-    program = operated(start_program, one, other)
+    program = start_operable_program(start_program, one, other)
     _, watch = program.discovery.accept_watch()
     heard = [program.open_request(f"{key:x}", traffic_class="order").read_line() for key in range(12)]
     assert set(heard) == {"FAIL", "UP other"}
@@ -340,7 +350,7 @@
     )
     while "BUSY" not in program.open_request("7").read_line():
         pass
-    line = caller(program)
+    line = operator_connection(program)
     line.send_line("GET /-/metrics HTTP/1.1\r\nHost: here\r\n")
     text = line.file.read().decode()
     failed = heard.count("FAIL")
--- a/tests/test_rule_guard.py
+++ b/tests/test_rule_guard.py
@@ -13,7 +13,7 @@
 from brambleplank.decisions.request_invariants import MAX_HELD_UP, RequestInvariants, Rule
 from brambleplank.model import AttemptOutcome, EndpointStatus, Idempotency, TrafficClass
 from brambleplank.records import Attempt, Request, Server
-from tests.faults import Faults
+from tests.faults import FaultInjector
 from tests.overrides import overrides
 from tests.programs import Program
 from tests.sample_settings import DECODED_SETTINGS, PLATFORM_SETTINGS, endpoint_list
@@ -161,7 +161,7 @@
 ) -> None:
     server = StandIn()
     port = server.listener.getsockname()[1]
-    faults = Faults(tmp_path, fail={"connect": (1.0, "ECONNREFUSED")}, times=1, port=port)
+    faults = FaultInjector(tmp_path, fail={"connect": (1.0, "ECONNREFUSED")}, times=1, port=port)
     program = start_program(endpoint_list(41, True, s0=server.address), patch=faults.patch)
     client = program.open_request(extra_fields=",at=s0")
     assert client.read_line() == "UP r1"
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -11,7 +11,7 @@
 
 from brambleplank import records
 from brambleplank.settings import decode_settings
-from tests.ports import spare_address
+from tests.ports import unused_address
 from tests.programs import Program, program_factory
 from tests.sample_settings import PLATFORM_SETTINGS, endpoint_list
 from tests.stand_ins import LineConnection, StandInServer
@@ -58,7 +58,7 @@
 
 def both(begin: Start, known: dict[str, Any], aware: bool) -> list[list[Program]]:
     """One proxy of the old shape, which may probe, and three of the new, which packets pass through."""
-    ears = [f"127.0.0.1:{spare_address()[1]}" for _ in range(3)]
+    ears = [f"127.0.0.1:{unused_address()[1]}" for _ in range(3)]
     old = [begin(known, settings=shape(0, 1, 3 * aware, False, True, "proxy"))]
     new = [
         begin(
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.ports import spare_address
+from tests.ports import unused_address
 from tests.programs import Program
 from tests.sample_settings import endpoint_list
 from tests.stand_ins import LineConnection, StandInDiscovery, StandInServer
@@ -222,7 +222,7 @@
 def test_resumed_session_is_dialled_until_its_server_is_reached(
     start_program: StartProgram,
 ) -> None:
-    late = spare_address()
+    late = unused_address()
     program = start_program(endpoint_list(41, True, s0=f"127.0.0.1:{late[1]}"))
     client = program.open_request(extra_fields=",at=s0")
     time.sleep(0.3)  # the first dials are refused meanwhile
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 from tests.overrides import overrides
 from tests.programs import Program
 from tests.stand_ins import LineConnection, StandInServer
-from tests.test_operating import call, operated, settings
+from tests.test_operating import send_command, settings, start_operable_program
 from tests.waiting import TEST_TIMEOUT
 
 StartProgram = Callable[..., Program]
@@ -30,12 +30,12 @@
 
 
 def first(start_program: StartProgram, *servers: StandInServer, **changes: Any) -> Program:
-    return operated(start_program, *servers, **{"settings": settings(feed=PATIENT), **changes})
+    return start_operable_program(start_program, *servers, **{"settings": settings(feed=PATIENT), **changes})
 
 
 def ready(program: Program) -> Program:
     """The process, once it says that it is ready."""
-    while call(program, "/-/ready", "GET") != 200:
+    while send_command(program, "/-/ready", "GET") != 200:
         pass
     return program
 
@@ -94,7 +94,7 @@
     old, banned = program, 0
     for turn in range(3):
         if turn == 1:
-            assert call(old, "/-/servers/s0/disable") == 200
+            assert send_command(old, "/-/servers/s0/disable") == 200
         new = ready(old.upgrade())
         said = leave(old)
         if turn == 1:
@@ -102,7 +102,7 @@
         assert "upgrade: listen handed to the next process" in said
         assert "end rejected" not in said and "end idle" not in said and "fault" not in said
         old = new
-    assert one.opening_count == banned and call(old, "/-/servers/s0/enable") == 200
+    assert one.opening_count == banned and send_command(old, "/-/servers/s0/enable") == 200
     until = time.monotonic() + TEST_TIMEOUT
     while one.opening_count == banned:
         assert time.monotonic() < until
@@ -123,15 +123,15 @@
     old = ready(program)
     new = ready(old.upgrade())
     said_at = old if at == "old" else new
-    assert call(said_at, "/-/servers/s0/disable") == 200
+    assert send_command(said_at, "/-/servers/s0/disable") == 200
     assert "operator: s0 out" in (new if at == "old" else old).next_log_line("operator: ")
     assert {program.open_request(f"{key:x}").read_line() for key in range(8)} == {"UP other"}
-    assert call(said_at, "/-/drain") == 200
+    assert send_command(said_at, "/-/drain") == 200
     old.next_log_line("operator: drain")
     new.next_log_line("operator: drain")
     assert program.connect("PING").read_line() == "NO"
     leave(old)
-    assert call(new, "/-/resume") == 200 and program.connect("PING").read_line() == "PONG"
+    assert send_command(new, "/-/resume") == 200 and program.connect("PING").read_line() == "PONG"
 
 
 def test_old_process_accepts_again_if_the_new_one_dies(start_program: StartProgram) -> None:
@@ -154,7 +154,7 @@
     ready(program)
     lost = program.open_request()
     there, out = ("UP one", "s1") if lost.read_line() == "UP one" else ("UP other", "s0")
-    assert call(program, f"/-/servers/{out}/disable") == 200
+    assert send_command(program, f"/-/servers/{out}/disable") == 200
     new = ready(program.upgrade())
     kept = program.open_request()
     assert kept.read_line() == there
@@ -171,7 +171,7 @@
 ) -> None:
     one, other = StandInServer("UP one"), StandInServer("UP other")
     program = ready(first(start_program, one, other))
-    assert call(program, "/-/servers/s1/disable") == 200
+    assert send_command(program, "/-/servers/s1/disable") == 200
     program.process.send_signal(signal.SIGSTOP)
     new = ready(program.upgrade())
     new.next_log_line("upgrade: taken over nothing")
@@ -378,18 +378,18 @@
     program = ready(first(start_program, server))
     client = program.open_request()
     assert client.read_line() == "UP r1"
-    assert call(program, "/-/servers/s0/disable") == 200
+    assert send_command(program, "/-/servers/s0/disable") == 200
     new = ready(program.upgrade())
     leave(program)
     assert client.read_line() == "MOVE"
-    assert call(new, "/-/servers/s0/enable") == 200
+    assert send_command(new, "/-/servers/s0/enable") == 200
     client = program.open_request()
     assert client.read_line() == "UP r1"
-    assert call(new, "/-/drain") == 200
+    assert send_command(new, "/-/drain") == 200
     newer = ready(new.upgrade())
     leave(new)
     assert client.read_line() == "MOVE" and program.connect("PING").read_line() == "NO"
-    assert call(newer, "/-/resume") == 200 and program.connect("PING").read_line() == "PONG"
+    assert send_command(newer, "/-/resume") == 200 and program.connect("PING").read_line() == "PONG"
 
 
 def test_remaining_sessions_are_migrated_if_the_new_process_dies_during_handoff(
