--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -27,7 +27,13 @@
 from benchmarks.discovery import StandInDiscovery
 from brambleplank.decisions.balancer import Balancer
 from brambleplank.discovery.consul import answers
-from brambleplank.discovery.consul.health import Answer, Catalogue, HealthSettings, HealthStatus, Instance
+from brambleplank.discovery.consul.health import (
+    Catalog,
+    HealthSettings,
+    HealthStatus,
+    Instance,
+    QueryMetadata,
+)
 from brambleplank.emulator.clients import Client, RequestRecord
 from brambleplank.emulator.consul import Member, StandInConsul
 from brambleplank.emulator.servers import StandIn
@@ -163,7 +169,7 @@
     members = [Member(f"x{n}", f"127.0.{n // 250}.{n % 250 + 1}:7501", "abc"[n % 3]) for n in range(count)]
     nobody: Any = Nobody()
     balancer = Balancer(nobody, decode_settings(platform_settings(FILE), sockets=True), 1)
-    catalogue, reader = Catalogue(HealthSettings()), answers.AnswerDecoder(answers.MetadataKeys())
+    catalog, reader = Catalog(HealthSettings()), answers.AnswerDecoder(answers.MetadataKeys())
     spent = [0.0, 0.0, 0.0]
     for turn in range(rounds + 1):
         members[turn % count].maintenance = turn % 2 == 1
@@ -171,8 +177,8 @@
         marks = [time.process_time()]
         found, _ = reader.decode(body)
         marks.append(time.process_time())
-        catalogue.answer_received(turn * 1.0, "feeds", found, Answer(0, turn + 1))
-        changes = catalogue.changes(turn * 1.0)
+        catalog.answer_received(turn * 1.0, "feeds", found, QueryMetadata(0, turn + 1))
+        changes = catalog.changes(turn * 1.0)
         marks.append(time.process_time())
         balancer.endpoints_received(turn * 1.0, [change.endpoint for change in changes], False)
         marks.append(time.process_time())
@@ -199,7 +205,7 @@
     zones = {name: "abc"[n % 3] for n, name in enumerate(names)}
     dead_until, flap_until = dict.fromkeys(names, -1.0), dict.fromkeys(names, -1.0)
     dead_since = dict.fromkeys(names, -1.0)
-    catalogue = Catalogue(figures)
+    catalog = Catalog(figures)
     state = dict.fromkeys(names, EndpointStatus.READY)
     good, flows, changed, were = 0.0, 0.0, 0, set(names)
     for tenth in range(36_000):
@@ -221,16 +227,16 @@
             )
 
         said = {name: word(name) for name in names}
-        catalogue.answer_received(
+        catalog.answer_received(
             now,
             "feeds",
             [
                 Instance(name, ("127.0.0.1", 7000 + n), zones[name], status=said[name])
                 for n, name in enumerate(names)
             ],
-            Answer(0, tenth + 1),
+            QueryMetadata(0, tenth + 1),
         )
-        for change in catalogue.changes(now):
+        for change in catalog.changes(now):
             state[change.endpoint.id] = change.endpoint.status
         used = [
             name
@@ -272,9 +278,12 @@
         print(f"| {servers} | " + " | ".join(f"{value:.2f}" for value in cpu_a_change(servers)) + " |")
     print("\n| rule | flows well served in the bad hour | servers that came or went |\n| --- | --- | --- |")
     for name, (share, changed) in (
-        ("passing only", bad_hour(HealthSettings(healthy=0.0, settle=0.0, steady=0.0), True)),
-        ("no damping", bad_hour(HealthSettings(settle=0.0, steady=0.0))),
-        ("no share of healthy", bad_hour(HealthSettings(healthy=0.0))),
+        (
+            "passing only",
+            bad_hour(HealthSettings(min_healthy_share=0.0, settle_time=0.0, recovery_time=0.0), True),
+        ),
+        ("no damping", bad_hour(HealthSettings(settle_time=0.0, recovery_time=0.0))),
+        ("no share of healthy", bad_hour(HealthSettings(min_healthy_share=0.0))),
         ("as it is", bad_hour(HealthSettings())),
     ):
         print(f"| {name} | {share:.4f} | {changed} |")
--- a/brambleplank/cli/check_command.py
+++ b/brambleplank/cli/check_command.py
@@ -52,7 +52,7 @@
     """Reads a sidecar's file, or a list of servers."""
     text = reader.text_of(file)
     if isinstance(text, str) and server_file.is_server_file(text):
-        reading, servers = server_file.read(text)
+        reading, servers = server_file.parse(text)
         return JudgedFile(sorted(reading.faults), servers, None)
     loaded = reader.read(file)
     return JudgedFile(loaded.faults, loaded.servers, loaded)
--- a/brambleplank/discovery/consul/answers.py
+++ b/brambleplank/discovery/consul/answers.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from brambleplank import addresses
-from brambleplank.discovery.consul.health import Answer, HealthStatus, Instance
+from brambleplank.discovery.consul.health import HealthStatus, Instance, QueryMetadata
 from brambleplank.errors import BrambleplankError
 
 NODE_MAINTENANCE = "_node_maintenance"
@@ -77,7 +77,7 @@
     state: str = "state"  # whose value "draining" drains, as maintenance does
 
 
-class GarbledAnswerError(BrambleplankError, ValueError):
+class MalformedAnswerError(BrambleplankError, ValueError):
     """Not an answer on a service."""
 
     ADVICE = "ask that agent by hand for the same path; the next agent is asked meanwhile"
@@ -99,14 +99,14 @@
         self.previous: dict[bytes, Instance | str] = {}  # by encoded server: it, or why it cannot be used
 
     def decode(self, body: bytes) -> tuple[list[Instance], list[str]]:
-        """The servers of an answer, and why others cannot be used. Raises GarbledAnswerError."""
+        """The servers of an answer, and why others cannot be used. Raises MalformedAnswerError."""
         decoded: dict[bytes, Instance | str] = {}
         try:
             for raw in RAW_ITEMS.decode(body):
                 encoded = bytes(raw)
                 decoded[encoded] = self.previous.get(encoded) or instance_of(ITEM.decode(encoded), self.keys)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            raise GarbledAnswerError(str(error)) from None
+            raise MalformedAnswerError(str(error)) from None
         self.previous = decoded
         found = {each.id: each for each in decoded.values() if isinstance(each, Instance)}
         return list(found.values()), [each for each in decoded.values() if isinstance(each, str)]
@@ -164,21 +164,21 @@
     return value if 0 <= value < MAX_NUMBER else default
 
 
-def answer(agent: int, header: Callable[[str], str], resumed: bool) -> Answer:
+def answer(agent: int, header: Callable[[str], str], after_failure: bool) -> QueryMetadata:
     """What the headers of an answer say; `header` gives the text of one, "" if it is not there.
 
-    Raises GarbledAnswerError.
+    Raises MalformedAnswerError.
     """
     try:
         index = int(header("X-Consul-Index"))
         last_contact = int(header("X-Consul-LastContact") or 0) / MS_PER_SECOND
     except ValueError:
-        raise GarbledAnswerError("no index in the answer") from None
-    return Answer(
+        raise MalformedAnswerError("no index in the answer") from None
+    return QueryMetadata(
         agent=agent,
         index=max(0, index),
         known_leader=header("X-Consul-KnownLeader") != "false",
         last_contact=max(0.0, last_contact),
-        filtered=header("X-Consul-Results-Filtered-By-ACLs") == "true",
-        resumed=resumed,
+        filtered_by_acls=header("X-Consul-Results-Filtered-By-ACLs") == "true",
+        after_failure=after_failure,
     )
--- a/brambleplank/discovery/consul/health.py
+++ b/brambleplank/discovery/consul/health.py
@@ -43,13 +43,13 @@
 class HealthSettings:
     """How reports are damped; all in seconds but the share of healthy servers."""
 
-    settle: float = 1.0  # for so long critical must last before it counts
-    steady: float = 1.0  # for so long passing must last after that, doubled at each further flap
-    steadiest: float = 30.0  # at most so long
-    forget: float = 60.0  # a flap is forgotten after so long
-    healthy: float = 0.5  # share of healthy servers below which the last good set stays in use
-    stalest: float = 5.0  # without contact to the leader; beyond that an answer is outdated
-    kept: float = 60.0  # for so long a set that is absent and uncertain as a whole stays in use
+    settle_time: float = 1.0  # for so long critical must last before it counts
+    recovery_time: float = 1.0  # for so long passing must last after that, doubled at each further flap
+    max_recovery_time: float = 30.0  # at most so long
+    flap_memory: float = 60.0  # a flap is forgotten after so long
+    min_healthy_share: float = 0.5  # share of healthy servers below which the last good set stays in use
+    max_staleness: float = 5.0  # without contact to the leader; beyond that an answer is outdated
+    max_hold_time: float = 60.0  # for so long a set that is absent and uncertain as a whole stays in use
 
 
 @dataclass(frozen=True)
@@ -66,15 +66,15 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class QueryMetadata:
     """What an answer says of itself; times in seconds."""
 
     agent: int  # the number of the agent that gave it
     index: int
     known_leader: bool = True
     last_contact: float = 0.0
-    filtered: bool = False  # whether the token hides some of it
-    resumed: bool = False  # whether it is the first after a failure
+    filtered_by_acls: bool = False  # whether the token hides some of it
+    after_failure: bool = False  # whether it is the first after a failure
 
 
 @dataclass(frozen=True)
@@ -160,7 +160,7 @@
         self.changed_at = -inf  # when answers failed, the agent changed, or its index went back
         self.records: dict[str, ServerRecord] = {}
 
-    def accept(self, now: float, answer: Answer, max_staleness: float) -> bool:
+    def accept(self, now: float, answer: QueryMetadata, max_staleness: float) -> bool:
         """Whether an answer is fresh; what is not may only add drains."""
         is_fresh = answer.known_leader and answer.last_contact <= max_staleness
         if answer.index < self.newest_index:
@@ -170,7 +170,7 @@
                 self.behind_since = now
             is_fresh = is_fresh and now >= self.behind_since + CATCH_UP_TIME
         if is_fresh:
-            if answer.resumed or answer.agent != self.agent or answer.index < self.newest_index:
+            if answer.after_failure or answer.agent != self.agent or answer.index < self.newest_index:
                 self.changed_at = now
             self.agent = answer.agent
             self.newest_index = answer.index
@@ -178,11 +178,11 @@
         return is_fresh
 
 
-class Catalogue:
+class Catalog:
     """All that was reported, and what the proxy is to be notified of."""
 
-    def __init__(self, figures: HealthSettings) -> None:
-        self.figures = figures
+    def __init__(self, settings: HealthSettings) -> None:
+        self.settings = settings
         self.services: dict[str, ServiceProgress] = {}
         self.unsettled: dict[ServerRecord, None] = {}  # those whose status may have to change
         self.groups: dict[str, HealthGroup] = {}
@@ -196,10 +196,12 @@
 
     # What answers report.
 
-    def answer_received(self, now: float, name: str, instances: list[Instance], answer: Answer) -> bool:
+    def answer_received(
+        self, now: float, name: str, instances: list[Instance], answer: QueryMetadata
+    ) -> bool:
         """An answer on a service; False if it was outdated, and only its drains count: ask again soon."""
         service = self.services.setdefault(name, ServiceProgress())
-        is_fresh = service.accept(now, answer, self.figures.stalest)
+        is_fresh = service.accept(now, answer, self.settings.max_staleness)
         for instance in instances:
             record = service.records.get(instance.id)
             if record is None:
@@ -210,11 +212,11 @@
             elif instance.status is HealthStatus.MAINTENANCE:
                 record.drained_index = max(record.drained_index, answer.index)
         # What a token with fewer rights does not see would look deregistered.
-        if is_fresh and not answer.filtered:
+        if is_fresh and not answer.filtered_by_acls:
             self.note_absent(now, service, {instance.id for instance in instances})
         return is_fresh
 
-    def add(self, now: float, name: str, instance: Instance, answer: Answer) -> None:
+    def add(self, now: float, name: str, instance: Instance, answer: QueryMetadata) -> None:
         """A server that is new."""
         record = ServerRecord(name, instance, now)
         self.services[name].records[instance.id] = record
@@ -223,7 +225,7 @@
             record.drained_index = answer.index
 
     def update(
-        self, now: float, record: ServerRecord, instance: Instance, answer: Answer, is_fresh: bool
+        self, now: float, record: ServerRecord, instance: Instance, answer: QueryMetadata, is_fresh: bool
     ) -> None:
         """Another health, address, size or zone of a known server."""
         health = record.health
@@ -252,7 +254,7 @@
             return
         for server_id, record in list(service.records.items()):
             if server_id not in present and record.health.status is not HealthStatus.ABSENT:
-                record.health.absence_uncertain = now < service.changed_at + self.figures.settle
+                record.health.absence_uncertain = now < service.changed_at + self.settings.settle_time
                 self.change_health(now, record, HealthStatus.ABSENT)
 
     def change_health(self, now: float, record: ServerRecord, status: HealthStatus) -> None:
@@ -292,7 +294,7 @@
 
     def review(self, group: HealthGroup) -> None:
         """Decides whether the last good set of a group stays in use; a change unsettles its servers."""
-        is_held = group.has_too_few_healthy(self.figures.healthy)
+        is_held = group.has_too_few_healthy(self.settings.min_healthy_share)
         if is_held == group.is_held:
             return
         group.is_held = is_held
@@ -350,8 +352,10 @@
         is_drained = record.status is EndpointStatus.DRAINING
         if not is_drained or health.previous is HealthStatus.MAINTENANCE or not record.flaps:
             return EndpointStatus.READY, now
-        figures = self.figures
-        recovery_time = exponential_backoff(figures.steady, 2.0, record.flaps - 1, figures.steadiest)
+        settings = self.settings
+        recovery_time = exponential_backoff(
+            settings.recovery_time, 2.0, record.flaps - 1, settings.max_recovery_time
+        )
         ready_at = health.since + recovery_time
         return (EndpointStatus.READY, now) if now >= ready_at else (EndpointStatus.DRAINING, ready_at)
 
@@ -360,7 +364,9 @@
         health = record.health
         if not health.absence_uncertain:
             return EndpointStatus.REMOVED, now
-        removed_at = health.since + (self.figures.kept if record.is_held else self.figures.settle)
+        removed_at = health.since + (
+            self.settings.max_hold_time if record.is_held else self.settings.settle_time
+        )
         if now >= removed_at:
             return EndpointStatus.REMOVED, now
         if record.is_held:
@@ -374,7 +380,7 @@
             return record.status or EndpointStatus.READY, now
         if record.status is None:
             return EndpointStatus.DRAINING, now
-        drained_at = record.health.since + self.figures.settle
+        drained_at = record.health.since + self.settings.settle_time
         return (EndpointStatus.DRAINING, now) if now >= drained_at else (record.status, drained_at)
 
     def change(self, now: float, record: ServerRecord, status: EndpointStatus) -> Change | None:
@@ -396,7 +402,7 @@
         """A server drains as it is critical: that is a flap if it was ready."""
         if record.status is not EndpointStatus.READY:
             return
-        if now > record.flapped_at + self.figures.forget:
+        if now > record.flapped_at + self.settings.flap_memory:
             record.flaps = 0
         record.flaps += 1
         record.flapped_at = now
--- a/brambleplank/discovery/consul/source.py
+++ b/brambleplank/discovery/consul/source.py
@@ -18,7 +18,7 @@
 from brambleplank import addresses
 from brambleplank.backoff import exponential_backoff
 from brambleplank.discovery.consul import answers
-from brambleplank.discovery.consul.health import Answer, Catalogue, Change, HealthSettings
+from brambleplank.discovery.consul.health import Catalog, Change, HealthSettings, QueryMetadata
 from brambleplank.model import Address
 from brambleplank.net.direct_connections import DirectEndpointFactory
 from brambleplank.net.loop import reactor
@@ -47,11 +47,11 @@
     services: list[str]
     datacenter: str = ""
     tag: str = ""
-    reads: str = "default"  # or "stale", "consistent"
-    wait: float = 30.0  # seconds that a query waits for a change
+    consistency: str = "default"  # or "stale", "consistent"
+    query_wait: float = 30.0  # seconds that a query waits for a change
     token_file: str = ""
-    keys: answers.MetadataKeys = field(default_factory=answers.MetadataKeys)
-    figures: HealthSettings = field(default_factory=HealthSettings)
+    metadata_keys: answers.MetadataKeys = field(default_factory=answers.MetadataKeys)
+    health: HealthSettings = field(default_factory=HealthSettings)
 
 
 @dataclass(frozen=True)
@@ -102,14 +102,14 @@
         self.index = 0  # to wait at; 0: the answer comes at once
         self.failures = 0  # in a row
         self.outdated_answers = 0  # in a row
-        self.decoder = answers.AnswerDecoder(source.settings.keys)
+        self.decoder = answers.AnswerDecoder(source.settings.metadata_keys)
         self.request: defer.Deferred[Any] | None = None
 
     def ask(self) -> None:
         """Sends the query, unless there is one under way."""
         if self.source.stopped or self.request:
             return
-        wait = self.source.settings.wait
+        wait = self.source.settings.query_wait
         request = self.source.agent.request(b"GET", self.url().encode(), self.source.headers())
         self.request = request
         request.addCallback(self.read_response)
@@ -122,13 +122,13 @@
         asked = self.source.settings
         query: dict[str, str] = {}
         if self.index:
-            query["wait"] = f"{asked.wait:g}s"
+            query["wait"] = f"{asked.query_wait:g}s"
             query["index"] = str(self.index)
         if asked.datacenter:
             query["dc"] = asked.datacenter
         if asked.tag:
             query["tag"] = asked.tag
-        text = urlencode(query) + (f"&{asked.reads}" if asked.reads != "default" else "")
+        text = urlencode(query) + (f"&{asked.consistency}" if asked.consistency != "default" else "")
         return f"http://{self.address()}/v1/health/service/{quote(self.service, safe='')}?{text}"
 
     def read_response(self, response: Any) -> defer.Deferred[Response]:
@@ -153,20 +153,20 @@
         try:
             answer = answers.answer(self.agent, response.header, self.failures > 0)
             instances, unused = self.decoder.decode(response.body)
-        except answers.GarbledAnswerError as error:
+        except answers.MalformedAnswerError as error:
             self.failed(f"garbled: {error}")
             return
         if self.failures:
             self.source.log(f"consul: {self.service}: answered again by {self.address()}")
         self.failures = 0
-        if answer.filtered:
+        if answer.filtered_by_acls:
             unused = [*unused, "the token does not see all of it; what is missing is not taken for gone"]
         self.source.log_unused(self.service, unused)
-        is_fresh = self.source.catalogue.answer_received(self.source.now(), self.service, instances, answer)
+        is_fresh = self.source.catalog.answer_received(self.source.now(), self.service, instances, answer)
         self.source.tick_soon()
         self.ask_after_answer(answer, is_fresh)
 
-    def ask_after_answer(self, answer: Answer, is_fresh: bool) -> None:
+    def ask_after_answer(self, answer: QueryMetadata, is_fresh: bool) -> None:
         """Asks again soon; later after outdated answers.
 
         An index that went back, or is 0, is no place to wait at: the next query asks from the beginning. So
@@ -233,7 +233,7 @@
     def __init__(self, proxy: Proxy, settings: ConsulSettings) -> None:
         self.proxy = proxy
         self.settings = settings
-        self.catalogue = Catalogue(settings.figures)
+        self.catalog = Catalog(settings.health)
         pool = HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = len(settings.services)
         pool.retryAutomatically = False
@@ -262,7 +262,7 @@
         """The headers of a query."""
         return Headers({"X-Consul-Token": [self.token]} if self.token else {})
 
-    def begin(self) -> None:
+    def apply_initial_list(self) -> None:
         """Begins with no server."""
         self.proxy.endpoints_received([], {}, True)
 
@@ -308,14 +308,14 @@
             self.ticking = False
             return
         now = self.now()
-        changes = self.catalogue.changes(now)
-        for text in self.catalogue.take_log_lines():
+        changes = self.catalog.changes(now)
+        for text in self.catalog.take_log_lines():
             self.log(text)
         if changes:
             changed = {change.endpoint.id: change.address for change in changes}
             self.proxy.endpoints_received([change.endpoint for change in changes], changed, False)
             self.log_changes(now, changes)
-        if self.catalogue.unsettled or changes:
+        if self.catalog.unsettled or changes:
             self.later(TICK, self.tick)
         else:
             self.ticking = False
--- a/brambleplank/discovery/file/server_file.py
+++ b/brambleplank/discovery/file/server_file.py
@@ -83,7 +83,7 @@
     return bool(tables) and tables <= {"server", "end"}
 
 
-def read(text: str) -> tuple[DocumentReader, list[Server]]:
+def parse(text: str) -> tuple[DocumentReader, list[Server]]:
     """The servers of a file of servers; where the document has faults they are not to be used."""
     document = DocumentReader(text)
     if document.is_unreadable:
--- a/brambleplank/discovery/file/source.py
+++ b/brambleplank/discovery/file/source.py
@@ -62,7 +62,7 @@
         """Nothing more is applied."""
         self.stopped = True
 
-    def begin(self) -> None:
+    def apply_initial_list(self) -> None:
         """Applies the list as read at the start, ahead of the first check."""
         if self.servers is not None:
             self.apply(self.servers)
@@ -100,7 +100,7 @@
             text = data.decode()
         except UnicodeDecodeError as error:
             return FileContent([f"not UTF-8 at byte {error.start}"], [])
-        document, servers = server_file.read(text)
+        document, servers = server_file.parse(text)
         return FileContent([str(fault) for fault in sorted(document.faults)], servers)
 
     def content_read(self, content: FileContent, stamp: FileStamp) -> None:
--- a/brambleplank/discovery/platform/discovery.py
+++ b/brambleplank/discovery/platform/discovery.py
@@ -23,7 +23,7 @@
 from twisted.python.failure import Failure
 from twisted.web.client import Agent
 
-from brambleplank.discovery.platform.endpoint_list import EndpointList, GarbledListError, decode_list
+from brambleplank.discovery.platform.endpoint_list import EndpointList, MalformedListError, decode_list
 from brambleplank.model import Address, Endpoint, EndpointStatus
 from brambleplank.net.clock import CallAfterReads
 from brambleplank.net.direct_connections import DirectEndpointFactory
@@ -85,7 +85,7 @@
 
     def connectionMade(self) -> None:  # noqa: N802
         """Expects the first byte, counted from the request."""
-        deadline = self.discovery.asked_at + RESPONSE_TIMEOUT
+        deadline = self.discovery.requested_at + RESPONSE_TIMEOUT
         self.start_timer(max(0.0, deadline - self.discovery.proxy.clock.now()))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -173,9 +173,9 @@
 class WatchRequest:
     """A request for a watch that is out."""
 
-    def __init__(self, asked_at: float, response: defer.Deferred[Any], timer: CallAfterReads) -> None:
+    def __init__(self, requested_at: float, response: defer.Deferred[Any], timer: CallAfterReads) -> None:
         """`timer` gives it up."""
-        self.asked_at = asked_at
+        self.requested_at = requested_at
         self.response = response
         self._timer = timer
 
@@ -221,10 +221,10 @@
         self.proxy = proxy
         self.service = DiscoveryService(address)
         self.version: int | None = None  # at this address; None: the whole list is asked for
-        self.newest = 0  # version of what was applied, wherever it came from
+        self.newest_version = 0  # version of what was applied, wherever it came from
         self.outdated: OutdatedList | None = None  # waits until it is as new as what is held
         self.moved_at = -inf
-        self.asked_at = -inf  # when the request was made that the newest watch answers
+        self.requested_at = -inf  # when the request was made that the newest watch answers
         self.failing = False  # whether that was reported, and no list has come since
         self.requests: list[WatchRequest] = []  # that are out, oldest first
         self.watch: Watch | None = None
@@ -234,7 +234,7 @@
         """Where discovery is."""
         return self.service.address
 
-    def move_to(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Discovery is elsewhere now: nothing more is received from where it was; the list held stays in use.
 
         The whole list is asked for: versions need not count alike there, and a change that was missed on
@@ -271,13 +271,13 @@
             if watch.transport is not None:
                 watch.transport.loseConnection()
 
-    def begin(self, encoded: Any, origin: Address | None = None) -> None:
+    def apply_initial_list(self, encoded: Any, origin: Address | None = None) -> None:
         """Applies the list as this proxy last had it; `origin` is the address that it came from.
 
         The version of a list from another address may say nothing here.
         """
         known = decode_list(encoded)
-        self.newest = known.version
+        self.newest_version = known.version
         self.version = known.version if origin in (None, self.address) else None
         self.proxy.endpoints_received(known.endpoints, known.addresses, True)
 
@@ -317,7 +317,7 @@
             return
         self.requests.remove(request)
         self.cancel_requests()
-        self.asked_at = request.asked_at
+        self.requested_at = request.requested_at
         self.watch = Watch(self)
         response.deliverBody(self.watch)
 
@@ -356,33 +356,33 @@
             self.retry(reason)
 
     def list_received(self, encoded: Any) -> None:
-        """Applies a list, or changes to the one before. Raises GarbledListError."""
+        """Applies a list, or changes to the one before. Raises MalformedListError."""
         if self.watch is None:
             return
         update = decode_list(encoded)
         self.check_order(update)
         self.version = update.version
         self.failing = False
-        is_behind = update.version < self.newest and self.is_catching_up()
+        is_behind = update.version < self.newest_version and self.is_catching_up()
         if self.outdated is not None or is_behind:
             outdated = self.hold_back(update)
             if is_behind:
                 return
             update = outdated.as_list(update.version)
             self.outdated = None
-        self.newest = update.version
+        self.newest_version = update.version
         self.proxy.endpoints_received(update.endpoints, update.addresses, update.is_whole)
         self.proxy.endpoints_current()
 
     def check_order(self, update: EndpointList) -> None:
-        """Raises GarbledListError for changes that cannot follow what came before."""
+        """Raises MalformedListError for changes that cannot follow what came before."""
         if update.is_whole:
             return
         if self.version is not None and update.version < self.version:
             self.version = None
-            raise GarbledListError(f"version went back to {update.version}")
+            raise MalformedListError(f"version went back to {update.version}")
         if self.version is None and self.outdated is None:
-            raise GarbledListError("changes to a list that was not told")
+            raise MalformedListError("changes to a list that was not told")
 
     def heartbeat_received(self) -> None:
         """The watch is alive, and has sent all that there is."""
--- a/brambleplank/discovery/platform/endpoint_list.py
+++ b/brambleplank/discovery/platform/endpoint_list.py
@@ -19,7 +19,7 @@
 MS_PER_SECOND = 1000
 
 
-class GarbledListError(BrambleplankError, ValueError):
+class MalformedListError(BrambleplankError, ValueError):
     """Not a list of servers."""
 
     ADVICE = "look at what discovery tells; the list held stays in use"
@@ -35,7 +35,7 @@
 
 
 def decode_list(encoded: Any) -> EndpointList:
-    """Decodes a list. Raises GarbledListError."""
+    """Decodes a list. Raises MalformedListError."""
     endpoints: list[Endpoint] = []
     addresses: dict[str, Address] = {}
     try:
@@ -45,7 +45,7 @@
             addresses[host["host"]] = address
         return EndpointList(int(encoded["seq"]), bool(encoded["whole"]), endpoints, addresses)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise GarbledListError(f"{type(error).__name__} {error}") from None
+        raise MalformedListError(f"{type(error).__name__} {error}") from None
 
 
 def decode_host(host: Any) -> tuple[Endpoint, Address]:
--- a/brambleplank/frontends/line/client_connections.py
+++ b/brambleplank/frontends/line/client_connections.py
@@ -20,7 +20,7 @@
 from brambleplank.records import Request
 
 MAX_LINE_LENGTH = 4094  # bytes, without its CRLF
-FIRST_LINE_WITHIN = 2.0  # seconds from its connection to its whole OPEN; it sends that as it connects
+FIRST_LINE_TIMEOUT = 2.0  # seconds from its connection to its whole OPEN; it sends that as it connects
 MAX_READ_PAST_END = 64 * 1024  # bytes that are still read of a client that has had its last line
 SHORT_LINGER = 0.3  # seconds to read the answer, for a client that breaks the protocol
 EVICTED_LINGER = 0.1  # seconds to read the answer, for a client whose descriptor is needed
@@ -54,7 +54,7 @@
         self.transport.setTcpNoDelay(True)
         self.proxy.admission.descriptors_changed(1)
         self.proxy.admission.client_connected(self)
-        self.setTimeout(FIRST_LINE_WITHIN)
+        self.setTimeout(FIRST_LINE_TIMEOUT)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Passes whole lines on at once; anything else is cut into lines."""
@@ -260,7 +260,7 @@
         """Returns the protocol of a new connection."""
         return LineClientConnection(self.proxy)
 
-    def room(self) -> int:
+    def accept_capacity(self) -> int:
         """Returns how many connections may be accepted now."""
         return self.proxy.admission.accept_capacity()
 
--- a/brambleplank/frontends/line/session_transfer.py
+++ b/brambleplank/frontends/line/session_transfer.py
@@ -16,7 +16,7 @@
 
 from brambleplank.checks import InvalidConfigurationError, need
 from brambleplank.frontends.line import open_line
-from brambleplank.frontends.line.client_connections import FIRST_LINE_WITHIN, LineClientConnection
+from brambleplank.frontends.line.client_connections import FIRST_LINE_TIMEOUT, LineClientConnection
 from brambleplank.frontends.line.upstream_connections import LineUpstreamConnection
 from brambleplank.interfaces import ResumedSession
 from brambleplank.model import Idempotency, TrafficClass
@@ -227,7 +227,7 @@
     now = proxy.clock.now()
     connected_at = min(now, connection.connected_at)
     proxy.admission.pending[client] = connected_at
-    client.setTimeout(max(MIN_FIRST_LINE_TIME, connected_at + FIRST_LINE_WITHIN - proxy.clock.now()))
+    client.setTimeout(max(MIN_FIRST_LINE_TIME, connected_at + FIRST_LINE_TIMEOUT - proxy.clock.now()))
     restore_bytes(client, connection.sides[0])
 
 
--- a/brambleplank/frontends/management/calls.py
+++ b/brambleplank/frontends/management/calls.py
@@ -19,11 +19,15 @@
 from brambleplank.net.operator_commands import CommandResult
 from brambleplank.net.proxy import Proxy
 
-MAX_CALLERS = 16  # at once; beyond that the caller that has been connected for longest is evicted
+MAX_OPERATOR_CONNECTIONS = (
+    16  # at once; beyond that the caller that has been connected for longest is evicted
+)
 CALL_TIMEOUT = 5  # seconds from its last byte to the next of a call that is not whole
 LINGER = 1  # seconds that a caller has to read its answer and to close
 MAX_BODY_SIZE = 4096  # bytes; no call needs any
-RESERVED_DESCRIPTORS = MAX_CALLERS + 2  # for callers, the listener, and one that is being accepted
+RESERVED_DESCRIPTORS = (
+    MAX_OPERATOR_CONNECTIONS + 2
+)  # for callers, the listener, and one that is being accepted
 
 
 class Answer(NamedTuple):
@@ -197,7 +201,7 @@
     def connected(self, connection: OperatorConnection) -> None:
         """Takes a connection in, and evicts the oldest where there are too many."""
         self.connections[connection] = None
-        if len(self.connections) > MAX_CALLERS:
+        if len(self.connections) > MAX_OPERATOR_CONNECTIONS:
             oldest = next(iter(self.connections))
             del self.connections[oldest]
             oldest.evict()
--- a/brambleplank/net/buffers.py
+++ b/brambleplank/net/buffers.py
@@ -208,7 +208,7 @@
         Twisted's own accepts and closes what it has no descriptor for, and would go on at once with any other
         error. What waits in the kernel until this machine's fault is over is served then.
         """
-        room = self.factory.room()
+        room = self.factory.accept_capacity()
         if room <= 0:
             self.pause()
             return
--- a/brambleplank/platform/configuration.py
+++ b/brambleplank/platform/configuration.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from brambleplank.checks import InvalidConfigurationError, address, check_settings
-from brambleplank.discovery.platform.endpoint_list import GarbledListError, decode_list
+from brambleplank.discovery.platform.endpoint_list import MalformedListError, decode_list
 from brambleplank.model import Address, Settings
 from brambleplank.platform.reload import FIXED_SETTINGS, require_same_keys
 from brambleplank.platform.stored_values import address_text
@@ -143,7 +143,7 @@
     known = file.get("known", EMPTY_LIST)
     try:
         decode_list(known)
-    except GarbledListError as error:
+    except MalformedListError as error:
         raise InvalidConfigurationError(f"known: not a list of servers: {error}") from None
     return dict(known)
 
--- a/brambleplank/platform/handoff_state.py
+++ b/brambleplank/platform/handoff_state.py
@@ -18,7 +18,7 @@
 from brambleplank.decisions.history import BalancerHistory
 from brambleplank.decisions.rotation import Rotation, unknown_endpoint
 from brambleplank.discovery.platform.discovery import Discovery
-from brambleplank.discovery.platform.endpoint_list import GarbledListError, decode_list, encode_list
+from brambleplank.discovery.platform.endpoint_list import MalformedListError, decode_list, encode_list
 from brambleplank.model import Address, EndpointStatus
 from brambleplank.net.proxy import Proxy
 from brambleplank.net.upstream_endpoint import upstream_endpoint_of
@@ -81,7 +81,7 @@
             for endpoint in proxy.rotation.listed.values()
             if endpoint.status is not EndpointStatus.REMOVED and endpoint.id in addresses
         ]
-        return cls(encode_list(discovery.newest, endpoints, addresses), discovery.address)
+        return cls(encode_list(discovery.newest_version, endpoints, addresses), discovery.address)
 
     def encode(self) -> dict[str, Any]:
         """The stored form, as plain values for JSON."""
@@ -92,7 +92,7 @@
         """Reads the stored form. Raises InvalidConfigurationError, which names the key."""
         try:
             decode_list(stored.get("list"))
-        except GarbledListError as error:
+        except MalformedListError as error:
             raise InvalidConfigurationError(f"estate.list: {error}") from None
         return cls(stored["list"], address(stored.get("discovery"), "estate.discovery"))
 
@@ -302,7 +302,7 @@
             proxy.clock.adopt(self.lifecycle.clock_anchor)
         proxy.start_times.starts = dict(self.start_times)
         self.rotation.restore(proxy.rotation)
-        discovery.begin(self.endpoints.encoded_list, self.endpoints.discovery)
+        discovery.apply_initial_list(self.endpoints.encoded_list, self.endpoints.discovery)
         proxy.adopt_state(self.lifecycle.started_at, self.lifecycle.serving)
         for server in proxy.balancer.servers.values():
             if server.id in self.servers:
--- a/brambleplank/platform/listeners.py
+++ b/brambleplank/platform/listeners.py
@@ -85,7 +85,7 @@
 def listen_for_operators(proxy: Proxy, address: Address, adopted: socket.socket | None) -> Any:
     """Returns the port at which operators call."""
     # Imported only here: a proxy without operators does without HTTP.
-    from brambleplank.frontends.management.calls import MAX_CALLERS, OperatorCallFactory
+    from brambleplank.frontends.management.calls import MAX_OPERATOR_CONNECTIONS, OperatorCallFactory
 
     factory: Any = OperatorCallFactory(proxy)
     if adopted:
@@ -95,6 +95,6 @@
     host, number = address
 
     def listen() -> Any:
-        return reactor.listenTCP(number, factory, backlog=MAX_CALLERS, interface=host)
+        return reactor.listenTCP(number, factory, backlog=MAX_OPERATOR_CONNECTIONS, interface=host)
 
     return listen_when_free(listen, address, proxy.log)
--- a/brambleplank/platform/run.py
+++ b/brambleplank/platform/run.py
@@ -111,7 +111,7 @@
     def begin(self) -> None:
         """Starts the proxy where no operator calls."""
         self.listen_for_peers(None)
-        self.discovery.begin(self.configuration.known)
+        self.discovery.apply_initial_list(self.configuration.known)
         self.client_port = listen_for_clients(self.proxy, self.configuration.listen, None, False)
 
     def begin_with_operators(self, operators: Address) -> None:
@@ -132,7 +132,7 @@
 
         self.peer_port = self.listen_for_peers(adopted("peer_listen"))
         if self.handoff is None or not self.handoff.restore(result):
-            self.discovery.begin(self.configuration.known)
+            self.discovery.apply_initial_list(self.configuration.known)
         self.client_port = listen_for_clients(self.proxy, listen, adopted("listen"), True)
         operator_port = listen_for_operators(self.proxy, operators, adopted("mgmt"))
         if self.handoff is not None:
@@ -186,7 +186,7 @@
             self.limit_descriptors(config.descriptors)
         self.reload_peers()
         if config.discovery != previous.discovery:
-            self.discovery.move_to(config.discovery)
+            self.discovery.change_address(config.discovery)
         if self.proxy.requests.fleet_admission:
             self.proxy.requests.fleet_admission.reload()
 
--- a/brambleplank/sidecar/endpoint_sources.py
+++ b/brambleplank/sidecar/endpoint_sources.py
@@ -26,7 +26,7 @@
     def stop(self) -> None:
         """Does nothing, as nothing is watched."""
 
-    def begin(self) -> None:
+    def apply_initial_list(self) -> None:
         """Gives the whole list to the proxy."""
         self.proxy.endpoints_received(*server_file.endpoints_of(self.servers), True)
 
@@ -34,7 +34,7 @@
         """Gives a list to the proxy if it differs."""
         if servers != self.servers:
             self.servers = servers
-            self.begin()
+            self.apply_initial_list()
 
 
 def endpoint_source(proxy: Proxy, loaded: LoadedFile) -> FileSource | ConsulSource | StaticEndpoints:
--- a/brambleplank/sidecar/reader.py
+++ b/brambleplank/sidecar/reader.py
@@ -127,7 +127,7 @@
     if isinstance(text, Fault):
         reading.add_fault(("servers", "file"), f"{path} {text.wrong}", text.instead)
         return
-    listed, loaded.servers = server_file.read(text)
+    listed, loaded.servers = server_file.parse(text)
     for fault in listed.faults:
         where = f"{path} line {fault.line}: {fault.key}"
         reading.add_fault(("servers", "file"), f"{where}: {fault.wrong}", fault.instead)
--- a/brambleplank/sidecar/run.py
+++ b/brambleplank/sidecar/run.py
@@ -154,7 +154,7 @@
         """Begins to follow servers, once the reactor runs."""
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: reactor.callFromThread(self.stop))
-        self.source.begin()
+        self.source.apply_initial_list()
         self.check_memory()
         self.check_ready()
 
@@ -283,7 +283,7 @@
         self.source.stop()
         self.source = endpoint_source(self.proxy, self.loaded)
         self.proxy.set_endpoint_source(self.source)
-        self.source.begin()
+        self.source.apply_initial_list()
         self.source.ensure_watching()
 
 
--- a/brambleplank/sidecar/watch.py
+++ b/brambleplank/sidecar/watch.py
@@ -56,7 +56,7 @@
     source = endpoint_source(printer, loaded)
 
     def begin() -> None:
-        source.begin()
+        source.apply_initial_list()
         source.ensure_watching()
         if seconds:
             printer.clock.call_later(seconds, reactor.stop)
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -370,7 +370,7 @@
     text += '[servers]\nfile = "maps.servers.toml"\n'
     assert faults_of(text, tmp_path) == []
     text = (tmp_path / "maps.servers.toml").read_text().replace("127.0.3.7:", "127.0.3.8:")
-    reading, none = server_file.read(text)
+    reading, none = server_file.parse(text)
     assert none == [] and [fault.key for fault in reading.faults] == ["server[758].address"]
 
 
@@ -405,10 +405,10 @@
     text = writer.servers_text(
         [server_file.Server(name=name, address=f"127.0.0.1:{7000 + n}") for n, name in enumerate(names)]
     )
-    reading, servers = server_file.read(text)
+    reading, servers = server_file.parse(text)
     assert not reading.faults and [server.name for server in servers] == names
     cut = data.draw(st.integers(0, text.index("[end]") + len("[end]") - 1))
-    reading, servers = server_file.read(text[:cut])
+    reading, servers = server_file.parse(text[:cut])
     assert reading.faults and not servers
 
 
--- a/tests/test_consul_health.py
+++ b/tests/test_consul_health.py
@@ -11,7 +11,13 @@
 from hypothesis import strategies as st
 
 from brambleplank.discovery.consul import answers
-from brambleplank.discovery.consul.health import Answer, Catalogue, HealthSettings, HealthStatus, Instance
+from brambleplank.discovery.consul.health import (
+    Catalog,
+    HealthSettings,
+    HealthStatus,
+    Instance,
+    QueryMetadata,
+)
 from brambleplank.discovery.consul.source import MAX_PAUSE, ServiceWatch
 from brambleplank.emulator.consul import Member
 from brambleplank.model import EndpointStatus
@@ -29,7 +35,7 @@
 
     def __init__(self, servers: int = 6, zones: str = "ab", **figures: Any) -> None:
         self.now, self.index = 100.0, 10
-        self.catalogue = Catalogue(HealthSettings(**figures))
+        self.catalog = Catalog(HealthSettings(**figures))
         self.instances = {
             f"s{n}": Instance(f"s{n}", ("127.0.0.1", 7000 + n), zones[n % len(zones)]) for n in range(servers)
         }
@@ -51,13 +57,13 @@
             self.instances[name] = replace(self.instances[name], status=word)
         self.index += 1
         there = [each for each in self.instances.values() if each.status is not HealthStatus.ABSENT]
-        answer = Answer(agent, self.index if index is None else index, leader, resumed=resumed)
-        taken = self.catalogue.answer_received(self.now, "feeds", there, answer)
+        answer = QueryMetadata(agent, self.index if index is None else index, leader, after_failure=resumed)
+        taken = self.catalog.answer_received(self.now, "feeds", there, answer)
         self.tick()
         return taken
 
     def tick(self) -> None:
-        for change in self.catalogue.changes(self.now):
+        for change in self.catalog.changes(self.now):
             name, _, _, condition, *_ = change.endpoint
             self.state[name] = condition
             self.log.append((round(self.now - 100.0, 1), name, condition))
@@ -85,7 +91,7 @@
         story.wait(0.8)
         story.tell(s0=GOOD)
         story.wait(0.3)
-    assert story.log == [] and not story.catalogue.unsettled
+    assert story.log == [] and not story.catalog.unsettled
 
 
 def test_lasting_critical_report_drains_and_flaps_lengthen_recovery() -> None:
@@ -147,7 +153,9 @@
     story = Story()
     story.wait(2.0)
     seen = [story.instances["s0"], replace(story.instances["s1"], status=MAINTAINED)]
-    assert story.catalogue.answer_received(story.now, "feeds", seen, Answer(0, 50, filtered=True))
+    assert story.catalog.answer_received(
+        story.now, "feeds", seen, QueryMetadata(0, 50, filtered_by_acls=True)
+    )
     story.wait(90.0)
     assert [(name, condition) for _, name, condition in story.log] == [("s1", DRAINING)]
 
@@ -186,7 +194,7 @@
     story.tell(s0=ILL, s3=ILL, s6=ILL)  # all of zone a
     story.wait(30.0)
     assert story.log == []
-    assert story.catalogue.log_lines == ["consul: zone a: 0 of 3 healthy: kept as they were"]
+    assert story.catalog.log_lines == ["consul: zone a: 0 of 3 healthy: kept as they were"]
     story.tell(s3=GOOD, s6=GOOD)  # now one server is ill, and is taken at its word
     story.wait(2.0)
     assert [(name, condition) for _, name, condition in story.log] == [("s0", DRAINING)]
@@ -199,14 +207,14 @@
     story.wait(2.0)
     story.tell(**all_of(story, HealthStatus.ABSENT))
     assert [(at, condition) for at, _, condition in story.log] == [(2.0, GONE)] * 6
-    assert story.catalogue.log_lines == []
+    assert story.catalog.log_lines == []
 
 
 def test_empty_answer_after_a_failure_keeps_servers_for_a_minute() -> None:
     story = Story()
     story.wait(2.0)
     story.tell(resumed=True, **all_of(story, HealthStatus.ABSENT))
-    assert story.catalogue.log_lines == [
+    assert story.catalog.log_lines == [
         f"consul: {where}: 0 of {count} healthy: kept as they were"
         for where, count in (("all zones", 6), ("zone a", 3), ("zone b", 3))
     ]
@@ -248,8 +256,8 @@
         story.tell(index=max(story.index, 200) + 100, **all_of(story, GOOD))
         story.wait(35.0)
     assert set(story.state.values()) == {READY} and len(story.state) == 4
-    assert not story.catalogue.unsettled
-    for group in story.catalogue.groups.values():
+    assert not story.catalog.unsettled
+    for group in story.catalog.groups.values():
         assert group.unhealthy == 0 and not group.is_held
 
 
@@ -262,7 +270,7 @@
     assert [each.status for each in found] == [HealthStatus.WARNING, MAINTAINED] and not unused
     try:
         answers.AnswerDecoder(answers.MetadataKeys()).decode(body[:at] + put + body[at + len(put) :])
-    except answers.GarbledAnswerError as error:
+    except answers.MalformedAnswerError as error:
         assert str(error)
 
 
@@ -270,7 +278,7 @@
     # Guards against a service that is followed no more once its agents were away for an hour.
     pauses: list[float] = []
     follower: Any = SimpleNamespace(
-        settings=SimpleNamespace(agents=[("127.0.0.1", 8500)], keys=answers.MetadataKeys()),
+        settings=SimpleNamespace(agents=[("127.0.0.1", 8500)], metadata_keys=answers.MetadataKeys()),
         log=lambda _: None,
         later=lambda pause, _: pauses.append(pause),
     )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,7 @@
 from tests.programs import Program, start_process
 from tests.sample_settings import PLATFORM_SETTINGS, endpoint_list
 from tests.stand_ins import StandInDiscovery, StandInServer
-from tests.test_sockets import StartProgram, fleet
+from tests.test_sockets import StartProgram, server_list
 from tests.waiting import TEST_TIMEOUT
 
 
@@ -42,7 +42,7 @@
 
 
 def ready(start_program: StartProgram, *servers: StandInServer, **more: Any) -> Program:
-    program = start_program(fleet(*servers), **more)
+    program = start_program(server_list(*servers), **more)
     assert program.connect("PING").read_line() == "PONG"
     return program
 
@@ -86,13 +86,13 @@
 
 def test_up_without_a_receipt_is_an_error(start_each_kind: StartProgram) -> None:
     for answer in ("UP", "UP ", "UP r1 r2", "UPr1"):
-        program = start_each_kind(fleet(StandInServer(answer)))
+        program = start_each_kind(server_list(StandInServer(answer)))
         client = program.open_request(traffic_class="order")
         assert (client.read_line(), client.read_line()) == ("FAIL", "")
         program.stop()
 
 
-IDLE_SOON = override("brambleplank.frontends.line.client_connections:FIRST_LINE_WITHIN", 0.3)
+IDLE_SOON = override("brambleplank.frontends.line.client_connections:FIRST_LINE_TIMEOUT", 0.3)
 READ_FOR_LONG = override("brambleplank.frontends.line.client_connections:SHORT_LINGER", 9)
 
 
@@ -134,7 +134,7 @@
     return sound(*what)
 {where} = told_to_end
 """
-    program = start_program(fleet(StandInServer()), patch=patch)
+    program = start_program(server_list(StandInServer()), patch=patch)
     log = program.remaining_log()
     assert program.process.returncode == 0 and "Traceback" not in log
     assert ("shutdown: drained" in log) == (where == "Program.begin")
@@ -172,7 +172,7 @@
     return sound(*what)
 {where} = told_to_end
 """
-    program = start_sidecar(fleet(StandInServer()), patch=patch)
+    program = start_sidecar(server_list(StandInServer()), patch=patch)
     log = program.remaining_log()
     assert program.process.returncode == 0 and "Traceback" not in log
     assert where not in ("Sidecar.share", "Sidecar.listen") or "shutdown: drained" in log
@@ -190,7 +190,7 @@
     settings = {**PLATFORM_SETTINGS, "policy_limits": {**PLATFORM_SETTINGS["policy_limits"], "peers": True}}
     own = f"127.0.0.1:{spare_address()[1]}" if held == "listen" else address
     program = start_program(
-        fleet(StandInServer()),
+        server_list(StandInServer()),
         settings=settings,
         peer_listen=own,
         peers=[own],
@@ -209,7 +209,7 @@
     one = StandInServer()
     other = StandInServer("UP r2")
     least = "import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))"
-    program = start_program(fleet(one, other), limits={"sockets": 64}, patch=least)
+    program = start_program(server_list(one, other), limits={"sockets": 64}, patch=least)
     program.discovery.requests.get(timeout=15)  # and no answer: it is down
     crowd = [program.connect() for _ in range(150)]
     for _ in range(3):
@@ -261,7 +261,9 @@
     try:
         for n in range(30):
             (tmp_path / str(n)).mkdir()
-            programs.append(Program(tmp_path / str(n), fleet(server)))  # discovery is there and says nothing
+            programs.append(
+                Program(tmp_path / str(n), server_list(server))
+            )  # discovery is there and says nothing
         in_time = 0
         for program in programs:
             while (heard := program.connect("PING").read_line()) != "PONG":
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -13,7 +13,7 @@
 from tests.overrides import override
 from tests.sample_settings import endpoint_list
 from tests.stand_ins import LineConnection, StandInDiscovery, StandInServer
-from tests.test_sockets import StartProgram, fleet, stood
+from tests.test_sockets import StartProgram, server_list, start_with_session
 
 
 def test_draining_server_gets_no_new_attempt_and_a_gap_asks_for_the_whole_list(
@@ -21,7 +21,7 @@
 ) -> None:
     one = StandInServer()
     other = StandInServer()
-    program = start_program(fleet(one, other))
+    program = start_program(server_list(one, other))
     _, watch = program.discovery.accept_watch()
     StandInDiscovery.send_text(watch, json.dumps(endpoint_list(42, False, s0=(one.address, "draining"))))
     StandInDiscovery.send_text(watch, json.dumps(endpoint_list(43, True, s1=other.address, s2="127.0.0.1:9")))
@@ -36,7 +36,7 @@
 ) -> None:
     one = StandInServer("UP one")
     other = StandInServer("UP other")
-    program = start_each_kind(fleet(one, other))
+    program = start_each_kind(server_list(one, other))
     standing = program.open_request("ab")
     owner = one if standing.read_line() == "UP one" else other
     there = owner.next_opening()[1]
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("broken", ["status", "cut", "garbled", "lacking", "silent", "refused"])
 def test_broken_watch_is_reopened_and_the_list_stays_in_use(start_program: StartProgram, broken: str) -> None:
     server = StandInServer()
-    program = start_program(fleet(server))
+    program = start_program(server_list(server))
     if broken == "status":
         line = program.discovery.requests.get(timeout=15)[1]
         line.socket.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
@@ -84,7 +84,7 @@
     assert again.startswith("GET /discovery/hosts?watch=1&from=41 ")
     assert program.open_request().read_line() == "UP r1"
     other = StandInServer("UP r2")
-    StandInDiscovery.send_text(watch, json.dumps(fleet(other, seq=50)))
+    StandInDiscovery.send_text(watch, json.dumps(server_list(other, seq=50)))
     assert "list: " in program.stop()
 
 
@@ -98,7 +98,7 @@
     start_program: StartProgram,
 ) -> None:
     server = StandInServer()
-    program = start_program(fleet(server), patch=SOON)
+    program = start_program(server_list(server), patch=SOON)
     program.discovery.accept_watch()
     for silence in ("watch", "watch", "watch", "agent", "agent", "watch"):
         first, line = program.discovery.requests.get(timeout=0.3 + LEFT)
@@ -111,9 +111,9 @@
 def test_indented_list_is_used(start_program: StartProgram) -> None:
     one = StandInServer()
     other = StandInServer("UP r2")
-    program = start_program(fleet(one))
+    program = start_program(server_list(one))
     _, watch = program.discovery.accept_watch()
-    for part in json.dumps(fleet(other, seq=42), indent=1).splitlines():
+    for part in json.dumps(server_list(other, seq=42), indent=1).splitlines():
         StandInDiscovery.send_text(watch, part)
     StandInDiscovery.send_text(
         watch, json.dumps(endpoint_list(43, False, s0=("127.0.0.1:9", "gone"), s1=other.address), indent=2)
@@ -126,7 +126,7 @@
 def test_reload_follows_the_new_discovery_and_keeps_sessions(
     start_program: StartProgram,
 ) -> None:
-    program, server, client, there = stood(start_program)
+    program, server, client, there = start_with_session(start_program)
     _, old = program.discovery.accept_watch()
     for turn in range(3):  # each time the address is another one, and the file as a whole is written anew
         new = StandInDiscovery()
@@ -151,7 +151,7 @@
 ) -> None:
     one = StandInServer()
     other = StandInServer("UP r2")
-    program = start_program(fleet(one, other))
+    program = start_program(server_list(one, other))
     new = StandInDiscovery()
     program.open_request().read_line()
     _, old = program.discovery.accept_watch()
@@ -163,13 +163,13 @@
     program.reload(discovery=new.address)
     _, watch = new.accept_watch()
     before = one.opening_count
-    StandInDiscovery.send_text(watch, json.dumps(fleet(one)))
+    StandInDiscovery.send_text(watch, json.dumps(server_list(one)))
     assert [program.open_request(key).read_line() for key in "abcdef12"] == [
         "UP r2"
     ] * 8 and one.opening_count == before
     again, watch = new.accept_watch()
     assert "from" not in again
-    StandInDiscovery.send_text(watch, json.dumps(fleet(one)))
+    StandInDiscovery.send_text(watch, json.dumps(server_list(one)))
     while program.open_request("ab").read_line() != "UP r1":
         pass
 
@@ -177,7 +177,7 @@
 def test_new_discovery_that_opens_late_is_retried_soon(
     start_program: StartProgram,
 ) -> None:
-    program = start_program(fleet(StandInServer()))
+    program = start_program(server_list(StandInServer()))
     for _ in range(4):  # each failure lengthens the decisions' pause before the next request
         program.discovery.accept_watch()[1].close(reset=True)
     late = socket.create_server(("127.0.0.1", 0))
@@ -190,7 +190,7 @@
 def test_wrong_new_file_is_named_by_its_key_and_changes_nothing(
     start_program: StartProgram,
 ) -> None:
-    program, _, client, there = stood(start_program)
+    program, _, client, there = start_with_session(start_program)
     _, watch = program.discovery.accept_watch()
     assert "is not JSON" in program.reload('{"name": ')
     assert "discovery: need an address" in program.reload(discovery="nowhere")
--- a/tests/test_handoff_state.py
+++ b/tests/test_handoff_state.py
@@ -44,7 +44,7 @@
     """Returns what a process leaves, read back from JSON."""
     proxy, discovery = make_proxy()
     hosts = {"s0": "10.0.0.1:80", "s1": ("10.0.0.2:80", "draining"), "s2": "10.0.0.3:80"}
-    discovery.begin(endpoint_list(41, True, **hosts))
+    discovery.apply_initial_list(endpoint_list(41, True, **hosts))
     proxy.operator_commands.take_out_of_rotation("s2")
     draining_server = proxy.balancer.servers["s1"]
     cold = proxy.balancer.servers["s0"]
--- a/tests/test_health_probes.py
+++ b/tests/test_health_probes.py
@@ -11,7 +11,7 @@
 from brambleplank.net.upstream_endpoint import UpstreamEndpoint
 from tests.sample_settings import DECODED_SETTINGS, PLATFORM_SETTINGS
 from tests.stand_ins import StandInServer
-from tests.test_sockets import StartProgram, fleet
+from tests.test_sockets import StartProgram, server_list
 
 
 def test_server_that_a_peer_reports_as_slow_is_relieved(start_program: StartProgram) -> None:
@@ -26,7 +26,7 @@
     known_as = f"127.0.0.1:{peer.getsockname()[1]}"
     server = StandInServer()
     program = start_program(
-        fleet(server),
+        server_list(server),
         settings={**PLATFORM_SETTINGS, "policy_limits": limits},
         peer_listen=f"127.0.0.1:{here[1]}",
         peers=[known_as],
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -69,7 +69,7 @@
         }
         self.told = configuration.decode(config)
         self.program = Program(self.told)
-        self.program.discovery.begin(self.told.known)
+        self.program.discovery.apply_initial_list(self.told.known)
         self.proxy = self.program.proxy
         self.balancer = self.proxy.balancer
         # Nothing that is reported of a server is too much to be believed.
@@ -243,7 +243,7 @@
         f'[[server]]\nname = "{name}"\naddress = "{place}"\n'
         for name, place in zip(NAMES, PLACES, strict=True)
     )
-    reading, of_file = server_file.read(servers + "[end]\n")
+    reading, of_file = server_file.parse(servers + "[end]\n")
     assert not reading.faults and [server.name for server in of_file] == NAMES
 
     items = [
--- a/tests/test_list_told.py
+++ b/tests/test_list_told.py
@@ -16,7 +16,7 @@
 from tests.programs import Program
 from tests.sample_settings import PLATFORM_SETTINGS, endpoint_list
 from tests.stand_ins import LineConnection, StandInDiscovery, StandInServer
-from tests.test_sockets import StartProgram, fleet
+from tests.test_sockets import StartProgram, server_list
 
 COUNTS_AFTER = 6.0  # seconds after which a change counts as told
 SOON = override("brambleplank.discovery.platform.discovery:LINE_TIMEOUT", 0.3)
@@ -40,7 +40,7 @@
 def test_dripping_watch_is_replaced(
     start_program: StartProgram,
 ) -> None:
-    program = start_program(fleet(StandInServer()), patch=SOON)
+    program = start_program(server_list(StandInServer()), patch=SOON)
     _, line = program.discovery.requests.get(timeout=15)
     head(line)
     drip(line)  # no whole list ever comes
@@ -54,7 +54,7 @@
 
 def test_drain_arrives_in_time_in_the_worst_order_of_failures(start_program: StartProgram) -> None:
     one, other = StandInServer(), StandInServer("UP r2")
-    program = start_program(fleet(one, other))
+    program = start_program(server_list(one, other))
     _, silent = program.discovery.accept_watch()
     drained = time.monotonic()  # right after a line; nothing whole comes on this watch any more
     threading.Timer(2.9, drip, [silent]).start()
@@ -80,7 +80,7 @@
     one = StandInServer()
     other = StandInServer("UP r2")
     rules = {**PLATFORM_SETTINGS["rules"], "stop_sending_within_us": 300_000}
-    program = start_program(fleet(one, other), settings={**PLATFORM_SETTINGS, "rules": rules})
+    program = start_program(server_list(one, other), settings={**PLATFORM_SETTINGS, "rules": rules})
     unanswered = [program.discovery.requests.get(timeout=15)[1] for _ in range(3)]
     _, watch = program.discovery.accept_watch()
     assert not unanswered[-1].is_closed()
@@ -96,7 +96,7 @@
     start_program: StartProgram, *servers: StandInServer
 ) -> tuple[Program, StandInDiscovery, LineConnection]:
     """A program that has a list of version 50, with a drain, and is told the older one of 41 elsewhere."""
-    program = start_program(fleet(*servers))
+    program = start_program(server_list(*servers))
     _, old = program.discovery.accept_watch()
     StandInDiscovery.send_text(old, json.dumps(endpoint_list(50, False, s0=(servers[0].address, "draining"))))
     while program.open_request("ab").read_line() != "UP r2":
@@ -104,7 +104,7 @@
     new = StandInDiscovery()
     program.reload(discovery=new.address)
     _, watch = new.accept_watch()
-    StandInDiscovery.send_text(watch, json.dumps(fleet(*servers)))
+    StandInDiscovery.send_text(watch, json.dumps(server_list(*servers)))
     return program, new, watch
 
 
@@ -144,9 +144,9 @@
 )
 def test_garbled_list_changes_nothing_and_is_requested_again(start_program: StartProgram, wrong: str) -> None:
     server = StandInServer()
-    program = start_program(fleet(server))
+    program = start_program(server_list(server))
     _, watch = program.discovery.accept_watch()
-    text = json.dumps(fleet(seq=42))[:-1].replace(
+    text = json.dumps(server_list(seq=42))[:-1].replace(
         "[]", json.dumps(endpoint_list(1, True, s9=server.address)["hosts"])
     )
     key = wrong.partition(":")[0]
@@ -168,7 +168,7 @@
     monkeypatch.setattr("brambleplank.discovery.platform.discovery.json.loads", parsed.append)
     clock = SimpleNamespace(now=lambda: 0.0, call_after_reads=lambda *_: Timer())
     follower: Any = SimpleNamespace(
-        proxy=SimpleNamespace(clock=clock), asked_at=0.0, list_received=lambda encoded: None
+        proxy=SimpleNamespace(clock=clock), requested_at=0.0, list_received=lambda encoded: None
     )
     follower.watch_failed = pytest.fail
     follower.heartbeat_received = lambda: None
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -19,14 +19,16 @@
 StartProgram = Callable[..., Program]
 
 
-def fleet(*servers: StandInServer, seq: int = 41) -> dict[str, Any]:
+def server_list(*servers: StandInServer, seq: int = 41) -> dict[str, Any]:
     return endpoint_list(seq, True, **{f"s{i}": server.address for i, server in enumerate(servers)})
 
 
-def stood(start_program: StartProgram) -> tuple[Program, StandInServer, LineConnection, LineConnection]:
+def start_with_session(
+    start_program: StartProgram,
+) -> tuple[Program, StandInServer, LineConnection, LineConnection]:
     """A program with one server, a client established through it, and the server's end of that."""
     server = StandInServer()
-    program = start_program(fleet(server))
+    program = start_program(server_list(server))
     client = program.open_request()
     assert client.read_line() == "UP r1"
     return program, server, client, server.next_opening()[1]
@@ -41,7 +43,7 @@
     assert front.read_line() == "NO"
     first, watch = program.discovery.accept_watch()
     assert first == "GET /discovery/hosts?watch=1&from=0 HTTP/1.1"
-    StandInDiscovery.send_text(watch, json.dumps(fleet(server)))
+    StandInDiscovery.send_text(watch, json.dumps(server_list(server)))
     client = program.open_request(extra_fields=",h=12,again=1")
     assert client.read_line() == "UP r1"
     front.send_line("PING")
@@ -59,7 +61,7 @@
 
 def test_lines_in_pieces_arrive_whole(start_each_kind: StartProgram) -> None:
     server = StandInServer(answer=None)
-    program = start_each_kind(fleet(server))
+    program = start_each_kind(server_list(server))
     client = program.connect()
     for byte in b"OPEN 1a 7f c=feed,t=acme,d=1500\r\nM":
         client.socket.sendall(bytes([byte]))
@@ -79,13 +81,13 @@
     shut = StandInServer()
     good = StandInServer()
     shut.close()
-    program = start_each_kind(fleet(full, shut, good))
+    program = start_each_kind(server_list(full, shut, good))
     assert [program.open_request(key).read_line() for key in "abcdef"] == ["UP r1"] * 6
     assert good.opening_count == 6 and full.opening_count
 
 
 def test_rejected_client_is_told_when_to_retry(start_each_kind: StartProgram) -> None:
-    program = start_each_kind(fleet(StandInServer("BUSY"), StandInServer("BUSY")))
+    program = start_each_kind(server_list(StandInServer("BUSY"), StandInServer("BUSY")))
     client = program.open_request()
     word, pause = client.read_line().split()
     assert word == "BUSY" and 1000 <= int(pause) <= 2000 and client.read_line() == ""
@@ -100,7 +102,7 @@
 ) -> None:
     one = StandInServer(answer)
     other = StandInServer(answer)
-    program = start_each_kind(fleet(one, other))
+    program = start_each_kind(server_list(one, other))
     client = program.open_request(traffic_class="order")
     assert client.read_line().split()[0] == client_hears
     assert one.opening_count + other.opening_count == (3 if answer == "BUSY" else 1)
@@ -111,7 +113,7 @@
 ) -> None:
     one = StandInServer(None)
     other = StandInServer(None)
-    program = start_each_kind(fleet(one, other))
+    program = start_each_kind(server_list(one, other))
     client = program.open_request(deadline_ms=1200)
     assert client.read_line().startswith("BUSY") and client.read_line() == ""
     for server in (one, other):
@@ -125,7 +127,7 @@
 def test_sigterm_migrates_sessions_answers_new_clients_and_exits_with_zero(
     start_each_kind: StartProgram,
 ) -> None:
-    program, server, client, there = stood(start_each_kind)
+    program, server, client, there = start_with_session(start_each_kind)
     program.process.send_signal(signal.SIGTERM)
     late = program.open_request()
     assert late.read_line() == "UP r1"
@@ -140,7 +142,7 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_end_is_passed_on_in_kind_after_all_lines(start_each_kind: StartProgram, reset: bool) -> None:
-    program, server, client, there = stood(start_each_kind)
+    program, server, client, there = start_with_session(start_each_kind)
     client.send_line("M 1")
     assert there.read_line() == "M 1"
     client.close(reset)
@@ -161,7 +163,7 @@
 def test_proxy_serves_and_stops_without_a_reader_of_its_log(
     start_each_kind: StartProgram,
 ) -> None:
-    program, server, client, there = stood(start_each_kind)
+    program, server, client, there = start_with_session(start_each_kind)
     assert program.process.stderr
     program.process.stderr.close()
     for key in "abc":
@@ -178,7 +180,7 @@
 def test_session_at_a_silent_server_is_migrated_within_seven_seconds(
     start_each_kind: StartProgram,
 ) -> None:
-    _, _, client, there = stood(start_each_kind)
+    _, _, client, there = start_with_session(start_each_kind)
     client.socket.settimeout(7.0)
     client.send_line("M 1")
     assert there.read_line() == "M 1" and client.read_line() == "MOVE"
@@ -195,7 +197,7 @@
 Balancer.{call} = faulty
 """
     one, other = (StandInServer("BUSY" if call == "attempt_ended" else "UP r1") for _ in range(2))
-    program = start_each_kind(fleet(one, other), patch=patch)
+    program = start_each_kind(server_list(one, other), patch=patch)
     first = program.open_request()
     heard = [first.read_line()]
     while heard[-1] not in ("", "reset"):
@@ -211,7 +213,7 @@
 def test_session_from_before_the_start_is_resumed_at_its_server(start_each_kind: StartProgram) -> None:
     one = StandInServer()
     other = StandInServer()
-    program = start_each_kind(fleet(one, other))
+    program = start_each_kind(server_list(one, other))
     for flow, (name, server) in enumerate((("s0", one), ("s1", other)), 1):
         assert program.open_request(extra_fields=f",at={name}").read_line() == "UP r1"
         assert server.next_opening()[0] == f"OPEN 9b1f03aa5c7e000{flow} 7f c=feed,t=acme,d=1500,at={name}"
@@ -240,6 +242,6 @@
     time.sleep(0.2)  # more than a connection may take to come up
 LineUpstreamConnection.dial = stall
 """
-    program = start_program(fleet(StandInServer()), patch=patch)
+    program = start_program(server_list(StandInServer()), patch=patch)
     assert program.open_request().read_line() == "UP r1"
     assert "connects=1" in program.stop()
--- a/tests/test_untrusted_clients.py
+++ b/tests/test_untrusted_clients.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.stand_ins import LineConnection, StandInServer
-from tests.test_sockets import StartProgram, fleet, stood
+from tests.test_sockets import StartProgram, server_list, start_with_session
 
 FIELDS = [
     b"d=900",
@@ -48,7 +48,7 @@
 def test_garbled_opening_is_answered_and_reaches_no_server(
     start_each_kind: StartProgram, rubbish: bytes
 ) -> None:
-    program, server, client, there = stood(start_each_kind)
+    program, server, client, there = start_with_session(start_each_kind)
     bad = program.connect()
     bad.socket.settimeout(3.0)
     with suppress(ConnectionError):
@@ -62,7 +62,7 @@
 def test_used_ids_and_early_lines_are_refused(
     start_each_kind: StartProgram,
 ) -> None:
-    program, server, client, there = stood(start_each_kind)
+    program, server, client, there = start_with_session(start_each_kind)
     opening = "OPEN 9b1f03aa5c7e0001 7f c=feed,d=900"
     assert program.connect(opening).read_line() == "ERR"
     client.close()
@@ -79,7 +79,7 @@
 def test_hundreds_of_idle_clients_leave_room_for_requests(
     start_each_kind: StartProgram, first: bytes
 ) -> None:
-    program, server, client, there = stood(start_each_kind)
+    program, server, client, there = start_with_session(start_each_kind)
     crowd = []
     for _ in range(400):
         crowd.append(program.connect())
@@ -99,7 +99,7 @@
 def test_client_behaviour_is_no_evidence_against_servers(
     start_each_kind: StartProgram,
 ) -> None:
-    program, server, client, there = stood(start_each_kind)
+    program, server, client, there = start_with_session(start_each_kind)
     client.send_line("what no server can read")
     there.read_line()
     there.close(reset=True)
@@ -120,7 +120,7 @@
 def test_requests_are_rejected_near_the_descriptor_limit_and_sessions_go_on(
     start_each_kind: StartProgram,
 ) -> None:
-    program = start_each_kind(fleet(StandInServer()), limits={"sockets": 64})
+    program = start_each_kind(server_list(StandInServer()), limits={"sockets": 64})
     standing: list[LineConnection] = []
     while (caller := program.open_request()).read_line() == "UP r1":
         standing.append(caller)
@@ -133,7 +133,7 @@
 
 
 def test_client_that_does_not_read_pauses_its_server_alone(start_each_kind: StartProgram) -> None:
-    program, _, client, there = stood(start_each_kind)
+    program, _, client, there = start_with_session(start_each_kind)
     there.socket.settimeout(2.0)
     line = b"x" * 1000 + b"\r\n"
     sent = 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -23,8 +23,8 @@
 PATIENT = {"setup_target_us": 10_000_000, "deadline_us": 30_000_000}
 PATIENT_TOO = overrides(
     {
-        "brambleplank.frontends.line.client_connections:FIRST_LINE_WITHIN": 30,
-        "brambleplank.frontends.line.session_transfer:FIRST_LINE_WITHIN": 30,
+        "brambleplank.frontends.line.client_connections:FIRST_LINE_TIMEOUT": 30,
+        "brambleplank.frontends.line.session_transfer:FIRST_LINE_TIMEOUT": 30,
     }
 )
 
