--- a/brambleplank/fleet/routing/active_routes.py
+++ b/brambleplank/fleet/routing/active_routes.py
@@ -126,12 +126,12 @@
 
         self.run_in_background(lambda: self.read_and_lint(text, True), done)
 
-    def read_and_lint(self, text: bytes, first_sight: bool) -> LintedTable:
+    def read_and_lint(self, text: bytes, first_check: bool) -> LintedTable:
         """Reads and lints a text."""
         table, faults = route_table.read(text.decode(errors="replace"))
         if table is None:
             return LintedTable(None, list(map(str, faults)), [])
-        return LintedTable(table, [], lint(table, self.lint_context(first_sight)))
+        return LintedTable(table, [], lint(table, self.lint_context(first_check)))
 
     def store_table(self, digest: int, table: route_table.RouteTable) -> None:
         """Stores a prepared table, and drops the oldest ones beyond the limit."""
--- a/brambleplank/frontends/line/client_connections.py
+++ b/brambleplank/frontends/line/client_connections.py
@@ -15,12 +15,12 @@
 from brambleplank.frontends.line import open_line
 from brambleplank.frontends.line.upstream_connections import END, LineUpstreamConnection, whole_lines
 from brambleplank.interfaces import EndpointAddress, ResumedSession
-from brambleplank.net.buffers import LINGER, FlowControl
+from brambleplank.net.buffers import LINGER_TIMEOUT, FlowControl
 from brambleplank.net.proxy import Proxy
 from brambleplank.records import Request
 
 MAX_LINE_LENGTH = 4094  # bytes, without its CRLF
-FIRST_LINE_WITHIN = 2.0  # seconds from its connection to its whole OPEN; it sends that as it connects
+FIRST_LINE_TIMEOUT = 2.0  # seconds from its connection to its whole OPEN; it sends that as it connects
 MAX_READ_PAST_END = 64 * 1024  # bytes that are still read of a client that has had its last line
 SHORT_LINGER = 0.3  # seconds to read the answer, for a client that breaks the protocol
 EVICTED_LINGER = 0.1  # seconds to read the answer, for a client whose descriptor is needed
@@ -38,7 +38,7 @@
         self.opening_line = b""  # its OPEN
         self.id = ""  # as OPEN has it, once that was taken
         self.opened_at = 0.0
-        self.answer_due = inf  # when its answer is, once it has asked
+        self.answer_deadline = inf  # when its answer is, once it has asked
         self.read_past_end = 0  # bytes
         self.request: Request | None = None
         self.upstreams: list[LineUpstreamConnection] = []  # in the order made
@@ -54,7 +54,7 @@
         self.transport.setTcpNoDelay(True)
         self.proxy.admission.descriptors_changed(1)
         self.proxy.admission.client_connected(self)
-        self.setTimeout(FIRST_LINE_WITHIN)
+        self.setTimeout(FIRST_LINE_TIMEOUT)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Passes whole lines on at once; anything else is cut into lines."""
@@ -112,7 +112,7 @@
         if opened.server_id is not None:
             self.proxy.requests.session_resumed(self, opening, opened.server_id)
         else:
-            self.answer_due = self.opened_at + opened.wait
+            self.answer_deadline = self.opened_at + opened.wait
             self.proxy.requests.request_received(self, opening, opened.wait, opened.is_reconnecting)
 
     # What the proxy asks.
@@ -176,7 +176,7 @@
         self.proxy.admission.client_answered(self)
         self.setRawMode()
         if reset:
-            self.transport.leave(True)
+            self.transport.close_after_flush(True)
             return
         if last:
             self.sendLine(last)
@@ -184,7 +184,7 @@
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
         self.transport.resumeProducing()
-        self.setTimeout(SHORT_LINGER if code in TURNED_AWAY else LINGER)
+        self.setTimeout(SHORT_LINGER if code in TURNED_AWAY else LINGER_TIMEOUT)
 
     def timeoutConnection(self) -> None:  # noqa: N802
         """Ends a connection that has not sent its first line, or was answered and is not closed."""
@@ -260,7 +260,7 @@
         """Returns the protocol of a new connection."""
         return LineClientConnection(self.proxy)
 
-    def room(self) -> int:
+    def accept_capacity(self) -> int:
         """Returns how many connections may be accepted now."""
         return self.proxy.admission.accept_capacity()
 
