--- a/brambleplank/fleet/retirement/evidence.py
+++ b/brambleplank/fleet/retirement/evidence.py
@@ -115,5 +115,7 @@
             counted = self.samples.lately(retirement.service_type, retirement.version, terms.customer)
             served = counted[CountKind.SERVED]
             if counted[CountKind.SHED] and served < terms.floor:
-                return f"{terms.customer} has {served} flows a minute served, {terms.floor} are its floor"
+                return (
+                    f"{terms.customer} has {served} flows a minute served, below its floor of {terms.floor}"
+                )
         return ""
--- a/brambleplank/fleet/retirement/plan.py
+++ b/brambleplank/fleet/retirement/plan.py
@@ -234,4 +234,4 @@
                 (*at, "customer", n, "ended"), "no more time than all have", "write a later date"
             )
         if any(terms.customer == other.customer for other in retirement.customer[:n]):
-            reading.add_fault((*at, "customer", n, "customer"), "stands twice", "write each customer once")
+            reading.add_fault((*at, "customer", n, "customer"), "is there twice", "write each customer once")
--- a/brambleplank/fleet/retirement/progress.py
+++ b/brambleplank/fleet/retirement/progress.py
@@ -190,7 +190,7 @@
         if step is None or place.step < number or skips:
             return f"{place.name}: step {place.step} after {number}"
         if step.due > self.wall() + CLOCK_TOLERANCE:
-            return f"{place.name}: the date of step {place.step} has not come here"
+            return f"{place.name}: the date of step {place.step} is in the future here"
         return ""
 
     def apply(self, number: int, digest: int) -> None:  # noqa: ARG002
--- a/brambleplank/fleet/routing/active_routes.py
+++ b/brambleplank/fleet/routing/active_routes.py
@@ -45,7 +45,7 @@
 class RouteTableError(FleetError):
     """A route table that cannot be used."""
 
-    ADVICE = "mend the line that is named; the table in force stays"
+    ADVICE = "correct the named line and start the process again"
 
 
 class ActiveRoutes:
@@ -155,7 +155,7 @@
         """Puts the table of a version in force, which the review has prepared."""
         table = self.tables.get(digest)
         if table is None:
-            self.log(f"routes: version {version} cannot be read here; the table before stays in use")
+            self.log(f"routes: version {version} cannot be read here; the previous table stays in use")
         else:
             self.table = table
 
--- a/brambleplank/fleet/routing/findings.py
+++ b/brambleplank/fleet/routing/findings.py
@@ -90,5 +90,5 @@
         for kind, count in self.counts.items():
             if count > MAX_FINDINGS:
                 wrong = f"{count - MAX_FINDINGS} more rules are {kind}"
-                rest.append(Finding(0, kind, wrong, "", "mend those that are named first"))
+                rest.append(Finding(0, kind, wrong, "", "correct the listed ones first"))
         return sorted([*self.findings, *rest])
--- a/brambleplank/fleet/routing/lint.py
+++ b/brambleplank/fleet/routing/lint.py
@@ -53,14 +53,16 @@
         rule = route.rule
         context = self.context
         if rule.retirement and rule.retirement not in self.table.retirements:
-            self.add_unreachable(route, f'no retirement "{rule.retirement}"', "write its timeline")
+            self.add_unreachable(route, f'no retirement "{rule.retirement}"', "add its timeline")
         unknown_type = first_unknown(rule.service_type, context.service_types)
         if unknown_type is not None:
             names = ", ".join(context.service_types)
             self.add_unreachable(route, f'no service type "{unknown_type}"', f"write one of {names}")
         unknown_customer = first_unknown(rule.customer, context.customers) if context.customers else None
         if unknown_customer is not None:
-            self.add_unreachable(route, f'no customer "{unknown_customer}"', "write one of the settings")
+            self.add_unreachable(
+                route, f'no customer "{unknown_customer}"', "write one of those in the settings"
+            )
         listed = self.table.versions
         unlisted = first_unknown(rule.version, listed) if listed else None
         if unlisted is not None:
@@ -77,10 +79,10 @@
         """Checks that the budget of a rule exists, and that its reserves leave something to lease."""
         name = route.rule.budget
         if name and name not in self.context.budgets:
-            names = ", ".join(self.context.budgets) or "none is there"
+            names = ", ".join(self.context.budgets) or "none is configured"
             self.add_unreachable(route, f'no budget "{name}"', f"write one of: {names}")
         elif name in self.context.idle_budgets:
-            wrong = f'budget "{name}" is smaller than its reserves need'
+            wrong = f'budget "{name}" has nothing to lease beside its reserves'
             instead = "raise its limit or lower its reserve"
             self.findings.add(route, FindingKind.CONTRADICTORY, wrong, instead)
 
@@ -91,7 +93,7 @@
             return
         if not any(matches(rule, *seen) for seen in self.context.requests_counted):
             wrong = "no process has seen a flow that it matches"
-            instead = f"see whether it is needed ({self.context.coverage})"
+            instead = f"check whether it is needed ({self.context.coverage})"
             self.findings.add(route, FindingKind.UNSEEN, wrong, instead, objects=False)
 
 
@@ -186,8 +188,8 @@
         self.findings.add(
             route,
             FindingKind.SHADOWED,
-            f"all that it matches goes by {labels}{more}",
-            f"leave it out, or put it before line {first.line}",
+            f"all flows that it matches are decided by {labels}{more}",
+            f"remove it, or put it before line {first.line}",
             self.example(route),
         )
 
@@ -216,7 +218,7 @@
             route,
             FindingKind.CONTRADICTORY,
             f"in part it matches what {earlier.label} decides otherwise",
-            f"make one of them the narrower, or cut it at line {earlier.line}",
+            f"let one of them match only a part of the other, or nothing that line {earlier.line} matches",
             self.example(route, earlier),
         )
 
--- a/brambleplank/fleet/routing/retirement_lint.py
+++ b/brambleplank/fleet/routing/retirement_lint.py
@@ -31,7 +31,7 @@
         report = partial(self.report, retirement)
         if not any(route.rule.retirement == retirement.name for route in self.table.routes):
             instead = f'write a rule with retirement = "{retirement.name}"'
-            report(FindingKind.UNREACHABLE, "no rule goes by it", instead)
+            report(FindingKind.UNREACHABLE, "no rule refers to it", instead)
         self.check_names(retirement, report)
         self.check_budgets(retirement, report)
         if retirement.notice and not self.context.notices:
@@ -70,7 +70,7 @@
         progress = self.context.retirement_steps.get(retirement.name)
         if progress is None:
             if self.context.wall_time is not None and retirement.ended.timestamp() <= self.context.wall_time:
-                report(FindingKind.UNREACHABLE, "its timeline is over", "write dates to come")
+                report(FindingKind.UNREACHABLE, "its timeline is over", "write dates in the future")
             return
         number, current = progress
         steps = steps_of(retirement)
@@ -78,7 +78,7 @@
         if planned is None or (planned.stage, planned.share) != (current.stage, current.share):
             where = f"it is {current.stage}, {current.share:.0%} turned away"
             wrong = f"{where}, and this would move it back"
-            report(FindingKind.CONTRADICTORY, wrong, "leave the steps that are done")
+            report(FindingKind.CONTRADICTORY, wrong, "keep the steps up to this one as they were")
 
     def check_successor(self, retirement: Retirement, report: ReportFinding) -> None:
         """Checks that the successor can replace what is retired."""
@@ -90,10 +90,10 @@
         ranks = self.context.idempotency_ranks
         if ranks.get(service_type, 0) < ranks.get(retirement.service_type, 0):
             wrong = (
-                f'flows of "{service_type}", its successor, may run twice, '
-                f'those of "{retirement.service_type}" not'
+                f'flows of its successor "{service_type}" may run twice, '
+                f'those of "{retirement.service_type}" may not'
             )
-            instead = "write a successor of an effect that needs as much"
+            instead = "name a successor whose effect is as strict"
             report(FindingKind.CONTRADICTORY, wrong, instead)
         for route in self.table.routes:
             if route.rule.does == "refuse" and matches_all_customers(route.rule, service_type, version):
@@ -108,11 +108,11 @@
         while (following := self.retirement_of_successor(chain[-1])) is not None and following not in chain:
             chain.append(following)
         if following is not None:
-            wrong = "its successors go round in a circle"
-            report(FindingKind.CONTRADICTORY, wrong, "end the chain with what stays")
+            wrong = "its successors form a cycle"
+            report(FindingKind.CONTRADICTORY, wrong, "end the chain with a successor that is not retired")
         elif len(chain) > 1 and chain[1].ended <= retirement.ended:
-            wrong = f'its successor is retired by "{chain[1].name}", and no later'
-            report(FindingKind.CONTRADICTORY, wrong, "name a successor that stays")
+            wrong = f'its successor is retired by "{chain[1].name}" at the same time or earlier'
+            report(FindingKind.CONTRADICTORY, wrong, "name a successor that stays longer")
 
     def retirement_of_successor(self, retirement: Retirement) -> Retirement | None:
         """Returns the retirement of the successor, or None."""
--- a/brambleplank/fleet/routing/rules.py
+++ b/brambleplank/fleet/routing/rules.py
@@ -88,7 +88,7 @@
     for n, retirement in enumerate(file.retirement):
         judged([lambda n=n, retirement=retirement: check_retirement(reading, n, retirement)])  # type: ignore[misc]
         if any(retirement.name == other.name for other in file.retirement[:n]):
-            twice = f'"{retirement.name}" stands twice'
+            twice = f'"{retirement.name}" is there twice'
             reading.add_fault(("retirement", n, "name"), twice, "write each name once")
     for n, rule in enumerate(file.rule):
         judged([lambda n=n, rule=rule: check_rule(reading, n, rule)])  # type: ignore[misc]
@@ -98,14 +98,16 @@
     """Adds all faults of one rule."""
     at: KeyPath = ("rule", n)
     if parse_ranges(rule.keys) is None:
-        reading.add_fault((*at, "keys"), f"no ranges of keys: {rule.keys}", 'write some like "00-7f"')
+        reading.add_fault((*at, "keys"), f"no ranges of keys: {rule.keys}", 'write ranges like "00-7f"')
     if rule.does == "refuse" and rule.budget:
-        reading.add_fault((*at, "budget"), "what is refused uses no budget", "leave it out")
+        reading.add_fault((*at, "budget"), "a refused flow uses no budget", "leave it out")
     if rule.does != "refuse" and rule.come_back is not None:
-        reading.add_fault((*at, "come_back"), "who is served need not come again", "leave it out")
+        reading.add_fault((*at, "come_back"), "only for rules that refuse flows", "leave it out")
     if (rule.does == "retire") != bool(rule.retirement):
-        reading.add_fault((*at, "retirement"), 'it goes with does = "retire"', "write both, or leave it out")
+        reading.add_fault(
+            (*at, "retirement"), 'needed with does = "retire", and only then', "write both, or neither"
+        )
     for key in ("service_type", "customer", "version"):
         values = getattr(rule, key)
         if len(set(values)) < len(values):
-            reading.add_fault((*at, key), "a value stands twice", "write each once")
+            reading.add_fault((*at, key), "a value is there twice", "write each once")
