--- a/brambleplank/fleet/retirement/evidence.py
+++ b/brambleplank/fleet/retirement/evidence.py
@@ -10,14 +10,14 @@
 from brambleplank.fleet.retirement.plan import Retirement, RetirementStage, RetirementStep
 
 EVIDENCE_WINDOW = 60.0  # seconds over which evidence is weighed
-SAMPLES = 12  # of the counts in a window
+SAMPLES_PER_WINDOW = 12  # of the counts in a window
 MIN_REACHABLE_SHARE = 0.8  # share of the members that must be heard
 MAX_REFUSAL_INCREASE = 0.1  # share of refused requests of the successor, over what it was, that halts
 RETRY_STORM_FACTOR = 2.0  # times what callers offered before that halts
 MIN_REQUESTS = 20  # in a window, under which nothing is concluded
 
 
-class Sample(NamedTuple):
+class CountSample(NamedTuple):
     """The counts over the fleet at one time."""
 
     at: float
@@ -37,14 +37,14 @@
     def __init__(self, counts: Mapping[str, Totals]) -> None:
         """`counts` are the fleet's, as they change."""
         self.counts = counts
-        self.samples: deque[Sample] = deque(maxlen=SAMPLES + 1)
+        self.samples: deque[CountSample] = deque(maxlen=SAMPLES_PER_WINDOW + 1)
 
     def update(self, now: float) -> None:
         """Takes a sample, if one is due."""
-        if not self.samples or now >= self.samples[-1].at + EVIDENCE_WINDOW / SAMPLES:
-            self.samples.append(Sample(now, {key: list(totals) for key, totals in self.counts.items()}))
+        if not self.samples or now >= self.samples[-1].at + EVIDENCE_WINDOW / SAMPLES_PER_WINDOW:
+            self.samples.append(CountSample(now, {key: list(totals) for key, totals in self.counts.items()}))
 
-    def lately(self, service_type: str, version: str, customer: str | None = None) -> Totals:
+    def recent_totals(self, service_type: str, version: str, customer: str | None = None) -> Totals:
         """Returns what was counted in the last window, of one customer or of all."""
         found = no_totals()
         if not self.samples:
@@ -62,11 +62,11 @@
 
     def offered(self, retirement: Retirement) -> int:
         """Returns the requests for what is retired in the last window."""
-        return self.lately(retirement.service_type, retirement.version)[CountKind.OFFERED]
+        return self.recent_totals(retirement.service_type, retirement.version)[CountKind.OFFERED]
 
     def refused_share(self, retirement: Retirement) -> float:
         """Returns the share of the successor's requests that were refused in the last window."""
-        counted = self.lately(*retirement.successor)
+        counted = self.recent_totals(*retirement.successor)
         offered = counted[CountKind.OFFERED]
         return counted[CountKind.REFUSED] / offered if offered >= MIN_REQUESTS else 0.0
 
@@ -78,14 +78,14 @@
         self,
         samples: CountSamples,
         coverage: Callable[[float], Coverage],
-        servers: Callable[[], int],
+        ready_servers: Callable[[], int],
     ) -> None:
         self.samples = samples
         self.coverage = coverage
-        self.servers = servers
+        self.ready_servers = ready_servers
         self.baselines: dict[str, Baseline] = {}  # by retirement
 
-    def take_baseline(self, retirement: Retirement) -> None:
+    def record_baseline(self, retirement: Retirement) -> None:
         """Notes the counts before callers are turned away."""
         refused_share = self.samples.refused_share(retirement)
         self.baselines[retirement.name] = Baseline(refused_share, self.samples.offered(retirement))
@@ -95,7 +95,7 @@
         coverage = self.coverage(now)
         if coverage.reachable < MIN_REACHABLE_SHARE * coverage.members:
             return f"coverage is too small: {coverage}"
-        if not self.servers():
+        if not self.ready_servers():
             return "the successor has no ready server"
         baseline = self.baselines.get(retirement.name, Baseline())
         refused = self.samples.refused_share(retirement)
@@ -112,7 +112,7 @@
         for terms in retirement.customer:
             if not terms.floor:
                 continue
-            counted = self.samples.lately(retirement.service_type, retirement.version, terms.customer)
+            counted = self.samples.recent_totals(retirement.service_type, retirement.version, terms.customer)
             served = counted[CountKind.SERVED]
             if counted[CountKind.SHED] and served < terms.floor:
                 return (
--- a/brambleplank/fleet/retirement/plan.py
+++ b/brambleplank/fleet/retirement/plan.py
@@ -31,16 +31,16 @@
     ENDED = "ended"
 
 
-CALLERS_WARNED = (
+STAGES_WARNING = (
     RetirementStage.WARNED,
     RetirementStage.PAUSED,
     RetirementStage.SHEDDING,
     RetirementStage.ENDED,
 )
-CALLERS_TURNED_AWAY = (RetirementStage.PAUSED, RetirementStage.SHEDDING)  # before the end
+STAGES_TURNING_AWAY = (RetirementStage.PAUSED, RetirementStage.SHEDDING)  # before the end
 
 
-def dated(does: str) -> Meta:
+def date_key(does: str) -> Meta:
     """Returns the description of a key that is a date."""
     return of(does, "2027-03-01T08:00:00Z")
 
@@ -48,7 +48,7 @@
 class Pause(msgspec.Struct, forbid_unknown_fields=True):
     """A rehearsal of the end: all callers are refused for a short, announced time."""
 
-    at: Annotated[Date, dated("when it begins")]
+    at: Annotated[Date, date_key("when it begins")]
     lasts: Annotated[Seconds, of("how long", '"60s"', "", 1, 86400)]
 
 
@@ -56,7 +56,7 @@
     """What one customer was granted."""
 
     customer: Annotated[str, of("the customer", '"acme"')]
-    ended: Annotated[Date | None, dated("until when it is neither paused nor shed; then it ends")] = None
+    ended: Annotated[Date | None, date_key("until when it is neither paused nor shed; then it ends")] = None
     floor: Annotated[
         int,
         of(
@@ -74,10 +74,10 @@
 
     name: Annotated[str, of("its name in rules and in the log", '"maps v1"')]
     service_type: Annotated[str, of("the service type that is retired, or a version of it", '"maps"')]
-    announced: Annotated[Date, dated("from when it is said in the log")]
-    warned: Annotated[Date, dated("from when callers are counted, and warned where they asked for it")]
-    shed: Annotated[Date, dated("from when a share of the callers is turned away")]
-    ended: Annotated[Date, dated("from when all are, but for customers with more time")]
+    announced: Annotated[Date, date_key("from when it is said in the log")]
+    warned: Annotated[Date, date_key("from when callers are counted, and warned where they asked for it")]
+    shed: Annotated[Date, date_key("from when a share of the callers is turned away")]
+    ended: Annotated[Date, date_key("from when all are, but for customers with more time")]
     version: Annotated[str, of("the version; empty: the whole service type", '"v1"')] = ""
     successor_type: Annotated[str, of("the service type to go to; empty: the same", '"maps"')] = ""
     successor_version: Annotated[str, of("the version to go to", '"v2"')] = ""
@@ -127,7 +127,7 @@
         ),
     ] = False
 
-    def lasts_until(self, customer: str) -> Date | None:
+    def end_for(self, customer: str) -> Date | None:
         """Returns a customer's own end, where it was granted one."""
         granted = (terms.ended for terms in self.customer if terms.customer == customer and terms.ended)
         return next(granted, None)
@@ -145,7 +145,7 @@
     stage: RetirementStage
     share: float  # of the callers that are turned away
     due: float  # Unix seconds from which it may begin
-    joined: tuple[str, ...] = ()  # customers with more time whose end has come
+    ended_customers: tuple[str, ...] = ()  # customers with more time whose end has come
 
 
 def steps_of(retirement: Retirement) -> list[RetirementStep]:
@@ -164,12 +164,14 @@
         due = shed_at + (ended_at - shed_at) * n / len(retirement.shares)
         steps.append(RetirementStep(RetirementStage.SHEDDING, share, due))
     steps.append(RetirementStep(RetirementStage.ENDED, 1.0, ended_at))
-    joined: tuple[str, ...] = ()
+    ended_customers: tuple[str, ...] = ()
     for terms in sorted((c for c in retirement.customer if c.ended), key=lambda c: str(c.ended)):
-        joined = (*joined, terms.customer)
+        ended_customers = (*ended_customers, terms.customer)
         assert terms.ended is not None
         steps.append(
-            RetirementStep(RetirementStage.ENDED, 1.0, max(ended_at, terms.ended.timestamp()), joined)
+            RetirementStep(
+                RetirementStage.ENDED, 1.0, max(ended_at, terms.ended.timestamp()), ended_customers
+            )
         )
     return steps
 
@@ -185,8 +187,8 @@
 
 def turns_away(retirement: Retirement, step: RetirementStep, customer: str, caller: str) -> bool:
     """Returns whether a step turns the caller away."""
-    if retirement.lasts_until(customer) is not None:
-        return customer in step.joined
+    if retirement.end_for(customer) is not None:
+        return customer in step.ended_customers
     return step.share > 0 and caller_position(retirement.name, caller) < step.share
 
 
@@ -214,16 +216,16 @@
 
 def check_pauses(reading: DocumentReader, at: KeyPath, retirement: Retirement) -> None:
     """Adds a fault for each pause that lies outside its time, or within another."""
-    free_from = retirement.warned.timestamp()
+    earliest = retirement.warned.timestamp()
     for n, pause in sorted(enumerate(retirement.pause), key=lambda each: each[1].at):
         begins = pause.at.timestamp()
-        if begins <= free_from or begins + pause.lasts >= retirement.shed.timestamp():
+        if begins <= earliest or begins + pause.lasts >= retirement.shed.timestamp():
             reading.add_fault(
                 (*at, "pause", n, "at"),
                 "not between warned and shed, or within another pause",
                 "put each pause after the one before, and its end before shed",
             )
-        free_from = begins + pause.lasts
+        earliest = begins + pause.lasts
 
 
 def check_customers(reading: DocumentReader, at: KeyPath, retirement: Retirement) -> None:
--- a/brambleplank/fleet/retirement/progress.py
+++ b/brambleplank/fleet/retirement/progress.py
@@ -18,8 +18,8 @@
 from brambleplank.fleet.member import FleetMember
 from brambleplank.fleet.retirement.evidence import CountSamples, Evidence
 from brambleplank.fleet.retirement.plan import (
-    CALLERS_TURNED_AWAY,
-    CALLERS_WARNED,
+    STAGES_TURNING_AWAY,
+    STAGES_WARNING,
     Retirement,
     RetirementStage,
     RetirementStep,
@@ -30,7 +30,9 @@
 from brambleplank.fleet.versions.identity import AgreementCallbacks
 
 TEXT_KIND = 1  # of text, in messages
-MIN_STEP_SHARE = 1 / 4  # of the time between two steps that the first lasts at least, whatever a clock says
+MIN_STEP_FRACTION = (
+    1 / 4
+)  # of the time between two steps that the first lasts at least, whatever a clock says
 MIN_STEP_DURATION = 2 * HEARTBEAT_INTERVAL
 CLOCK_TOLERANCE = LEASE_DURATION  # seconds by which a member's clock may be behind the leader's
 HALT_RECOVERY_TIME = 30.0  # seconds without evidence until a halt is over
@@ -42,10 +44,10 @@
 
     name: str
     step: int
-    halted: str = ""
+    halt_reason: str = ""
 
 
-PLACES_DECODER: msgspec.json.Decoder[list[RetirementPosition]] = msgspec.json.Decoder(
+POSITIONS_DECODER: msgspec.json.Decoder[list[RetirementPosition]] = msgspec.json.Decoder(
     list[RetirementPosition]
 )
 
@@ -89,22 +91,22 @@
     def __init__(
         self,
         fleet: FleetMember,
-        routing: ActiveTable,
-        wall: Callable[[], float],
-        servers: Callable[[], int],
+        active_table: ActiveTable,
+        wall_time: Callable[[], float],
+        ready_servers: Callable[[], int],
         log: Callable[[str], None],
     ) -> None:
         self.fleet = fleet
-        self.routing = routing
-        self.wall = wall
+        self.active_table = active_table
+        self.wall_time = wall_time
         self.log = log
         self.now = fleet.identity.began  # at the last turn
         self.positions: dict[str, RetirementPosition] = {}
-        self.entered: dict[str, float] = {}  # when a step came into force here
+        self.entered_at: dict[str, float] = {}  # when a step came into force here
         self.step_cache = StepCache()
         self.samples = CountSamples(fleet.counts.fleet)
-        self.evidence = Evidence(self.samples, fleet.coverage, servers)
-        self.evidence_at: dict[str, float] = {}  # when a reason to halt was last found
+        self.evidence = Evidence(self.samples, fleet.coverage, ready_servers)
+        self.last_evidence_at: dict[str, float] = {}  # when a reason to halt was last found
         self.agreement = VersionAgreement(
             fleet.agreement_identity(TEXT_KIND, "retirements"),
             AgreementCallbacks(fleet.send, self.review, self.apply, log),
@@ -113,14 +115,16 @@
         )
         fleet.agreements.add(self.agreement)
         # A step back would serve again who was told to go.
-        fleet.monotonic.add(lambda: {f"step of {name}": place.step for name, place in self.positions.items()})
+        fleet.monotonic.add(
+            lambda: {f"step of {name}": position.step for name, position in self.positions.items()}
+        )
 
     # Requests.
 
     def current_step(self, retirement: Retirement) -> RetirementStep | None:
         """Returns the step in force; None: nothing was announced yet."""
-        place = self.positions.get(retirement.name)
-        return self.numbered_step(retirement, place.step) if place else None
+        position = self.positions.get(retirement.name)
+        return self.numbered_step(retirement, position.step) if position else None
 
     def numbered_step(self, retirement: Retirement, number: int) -> RetirementStep | None:
         """Returns the step of a number, if there is one."""
@@ -129,33 +133,33 @@
 
     def steps_of(self, retirement: Retirement) -> list[RetirementStep]:
         """Returns all steps of a retirement of the table in force."""
-        return self.step_cache.steps_of(self.routing.table, retirement)
+        return self.step_cache.steps_of(self.active_table.table, retirement)
 
     def warns(self, retirement: Retirement) -> bool:
         """Returns whether callers are warned."""
         step = self.current_step(retirement)
-        return step is not None and step.stage in CALLERS_WARNED
+        return step is not None and step.stage in STAGES_WARNING
 
     def turns_away(self, now: float, retirement: Retirement, customer: str, caller: str) -> bool:
         """Returns whether a caller is turned away now; a unit of the ceiling is taken for it."""
         step = self.current_step(retirement)
-        place = self.positions.get(retirement.name)
-        if step is None or place is None or retirement.halted:
+        position = self.positions.get(retirement.name)
+        if step is None or position is None or retirement.halted:
             return False
         if not turns_away(retirement, step, customer, caller):
             return False
         may_halt = step.stage != RetirementStage.ENDED
-        if may_halt and (place.halted or self.fleet.partitioned or not self.fleet.has_lease(now)):
+        if may_halt and (position.halt_reason or self.fleet.partitioned or not self.fleet.has_lease(now)):
             return False  # Partitioned, it would not receive a halt; callers are served until it can.
         return not retirement.ceiling or self.fleet.take(now, retirement.ceiling)
 
-    def moves(self, now: float, retirement: Retirement, standing: int) -> int:
+    def migration_count(self, now: float, retirement: Retirement, session_count: int) -> int:
         """Returns how many of the sessions with an ended version are to be migrated in this second."""
         step = self.current_step(retirement)
-        if step is None or step.stage != RetirementStage.ENDED or retirement.halted or not standing:
+        if step is None or step.stage != RetirementStage.ENDED or retirement.halted or not session_count:
             return 0
-        left = self.entered.get(retirement.name, now) + retirement.move_within - now
-        wanted = -(-standing // max(1, round(left)))
+        left = self.entered_at.get(retirement.name, now) + retirement.move_within - now
+        wanted = -(-session_count // max(1, round(left)))
         if not retirement.moves:
             return wanted
         count = 0
@@ -171,48 +175,51 @@
         Otherwise one clock that has jumped would turn callers away a month early.
         """
         try:
-            places = PLACES_DECODER.decode(text)
+            positions = POSITIONS_DECODER.decode(text)
         except msgspec.DecodeError as error:
             done(f"unreadable: {error}")
             return
-        objections = (self.objection(place) for place in places)
+        objections = (self.objection(position) for position in positions)
         done(next((objection for objection in objections if objection), ""))
 
-    def objection(self, place: RetirementPosition) -> str:
+    def objection(self, position: RetirementPosition) -> str:
         """Returns what this process has against a proposed step; "" if nothing."""
-        retirement = self.routing.table.retirements.get(place.name)
-        before = self.positions.get(place.name)
+        retirement = self.active_table.table.retirements.get(position.name)
+        before = self.positions.get(position.name)
         number = before.step if before else NOT_BEGUN
-        if retirement is None or place.step == number:
+        if retirement is None or position.step == number:
             return ""
-        step = self.numbered_step(retirement, place.step)
-        skips = place.step > number + 1 and self.agreement.is_current
-        if step is None or place.step < number or skips:
-            return f"{place.name}: step {place.step} after {number}"
-        if step.due > self.wall() + CLOCK_TOLERANCE:
-            return f"{place.name}: the date of step {place.step} is in the future here"
+        step = self.numbered_step(retirement, position.step)
+        skips = position.step > number + 1 and self.agreement.is_current
+        if step is None or position.step < number or skips:
+            return f"{position.name}: step {position.step} after {number}"
+        if step.due > self.wall_time() + CLOCK_TOLERANCE:
+            return f"{position.name}: the date of step {position.step} is in the future here"
         return ""
 
-    def apply(self, number: int, digest: int) -> None:  # noqa: ARG002
+    def apply(self, version: int, digest: int) -> None:  # noqa: ARG002
         """Puts the steps of a version in force."""
-        places = {place.name: place for place in PLACES_DECODER.decode(self.agreement.texts.text(digest))}
-        for name, place in places.items():
+        positions = {
+            position.name: position
+            for position in POSITIONS_DECODER.decode(self.agreement.texts.text(digest))
+        }
+        for name, position in positions.items():
             before = self.positions.get(name)
-            if before is None or before.step != place.step:
-                self.entered[name] = self.now
-            if before != place:
-                self.log_place(place)
-        self.positions = places
+            if before is None or before.step != position.step:
+                self.entered_at[name] = self.now
+            if before != position:
+                self.log_position(position)
+        self.positions = positions
 
-    def log_place(self, place: RetirementPosition) -> None:
+    def log_position(self, position: RetirementPosition) -> None:
         """Logs where a retirement of the table in force is."""
-        retirement = self.routing.table.retirements.get(place.name)
-        step = self.numbered_step(retirement, place.step) if retirement is not None else None
+        retirement = self.active_table.table.retirements.get(position.name)
+        step = self.numbered_step(retirement, position.step) if retirement is not None else None
         if step is None:
             return
         share = f", {step.share:.0%} turned away" if step.stage == RetirementStage.SHEDDING else ""
-        halted = f"; halted: {place.halted}" if place.halted else ""
-        self.log(f"retirement {place.name}: {step.stage}{share}{halted}")
+        halted = f"; halted: {position.halt_reason}" if position.halt_reason else ""
+        self.log(f"retirement {position.name}: {step.stage}{share}{halted}")
 
     # As the leader.
 
@@ -223,52 +230,54 @@
         if proposer.leader_since is None or not proposer.recovered or proposer.proposal is not None:
             return
         self.samples.update(now)
-        found = [self.next_place(now, each) for each in self.routing.table.retirements.values()]
-        wanted = [place for place in found if place is not None]
+        found = [self.next_position(now, each) for each in self.active_table.table.retirements.values()]
+        wanted = [position for position in found if position is not None]
         if wanted != [*self.positions.values()]:
             digest = self.agreement.texts.store(msgspec.json.encode(wanted))
             proposer.propose(now, self.agreement.highest_version + 1, digest, self.fleet.identity.number)
 
-    def next_place(self, now: float, retirement: Retirement) -> RetirementPosition | None:
+    def next_position(self, now: float, retirement: Retirement) -> RetirementPosition | None:
         """Returns where a retirement should be: as it is, one step on, halted, or no longer halted."""
-        place = self.positions.get(retirement.name)
-        number = place.step if place else NOT_BEGUN
+        position = self.positions.get(retirement.name)
+        number = position.step if position else NOT_BEGUN
         step = self.numbered_step(retirement, number)
-        halted = self.halted(now, retirement, step, place.halted if place else "")
+        halted = self.halt_reason(now, retirement, step, position.halt_reason if position else "")
         following = self.numbered_step(retirement, number + 1)
         if halted or retirement.halted:
             following = None
         if following is not None and self.is_due(now, retirement, step, following):
-            if following.stage in CALLERS_TURNED_AWAY and not is_turning_away(step):
-                self.evidence.take_baseline(retirement)
+            if following.stage in STAGES_TURNING_AWAY and not is_turning_away(step):
+                self.evidence.record_baseline(retirement)
             number += 1
         return RetirementPosition(retirement.name, number, halted) if number != NOT_BEGUN else None
 
-    def halted(self, now: float, retirement: Retirement, step: RetirementStep | None, reason: str) -> str:
+    def halt_reason(
+        self, now: float, retirement: Retirement, step: RetirementStep | None, reason: str
+    ) -> str:
         """Returns why a retirement should be halted, given why it is; "" if it should not be."""
         if step is None or not is_turning_away(step):
             return ""
         found = self.evidence.reason_to_halt(now, retirement, step)
         if found:
-            self.evidence_at[retirement.name] = now
+            self.last_evidence_at[retirement.name] = now
             return reason or found
         if not reason:
             return ""
-        quiet_since = self.evidence_at.setdefault(retirement.name, now)
+        quiet_since = self.last_evidence_at.setdefault(retirement.name, now)
         return "" if now >= quiet_since + HALT_RECOVERY_TIME else reason
 
     def is_due(
         self, now: float, retirement: Retirement, step: RetirementStep | None, following: RetirementStep
     ) -> bool:
         """Returns whether a step has lasted as long as it has to, and the date of the next has come."""
-        entered = self.entered.get(retirement.name)
-        if step is not None and entered is not None:
-            lasts = max(MIN_STEP_DURATION, MIN_STEP_SHARE * (following.due - step.due))
-            if now < entered + lasts:
+        entered_at = self.entered_at.get(retirement.name)
+        if step is not None and entered_at is not None:
+            lasts = max(MIN_STEP_DURATION, MIN_STEP_FRACTION * (following.due - step.due))
+            if now < entered_at + lasts:
                 return False
-        return self.wall() >= following.due
+        return self.wall_time() >= following.due
 
 
 def is_turning_away(step: RetirementStep | None) -> bool:
     """Returns whether callers are turned away in a step before the end."""
-    return step is not None and step.stage in CALLERS_TURNED_AWAY
+    return step is not None and step.stage in STAGES_TURNING_AWAY
--- a/brambleplank/fleet/routing/admission.py
+++ b/brambleplank/fleet/routing/admission.py
@@ -162,7 +162,7 @@
         successor = "/".join(
             part for part in (retirement.successor_type, retirement.successor_version) if part
         )
-        ended = retirement.lasts_until(request.customer) or retirement.ended
+        ended = retirement.end_for(request.customer) or retirement.ended
         if retirement.notice and self.notices:
             name = retirement.name.replace(" ", "_")
             request.notice = f"NOTICE retired={name},ended={ended:%Y-%m-%dT%H:%M:%SZ},successor={successor}"
@@ -186,7 +186,7 @@
             step = self.retirement_progress.current_step(retirement)
             if step is None or step.stage != RetirementStage.ENDED:
                 continue
-            standing = [
+            sessions = [
                 handle
                 for handle, request in self.requests.items()
                 if request.served
@@ -194,7 +194,7 @@
                 and retirement.version in ("", request.version)
                 and turns_away(retirement, step, request.customer, request.caller)
             ]
-            found += standing[: self.retirement_progress.moves(now, retirement, len(standing))]
+            found += sessions[: self.retirement_progress.migration_count(now, retirement, len(sessions))]
         return found
 
     def adopt(
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -218,14 +218,14 @@
 
     def place(self, n: int) -> tuple[int, str]:
         found = self.retiring[n].positions.get("maps v1")
-        return (found.step, found.halted) if found else (-1, "")
+        return (found.step, found.halt_reason) if found else (-1, "")
 
     def places(self) -> set[tuple[int, str]]:
         return {self.place(node.number) for node in self.nodes if node.fleet}
 
     def away(self, n: int, key: int) -> bool:
         """Whether a caller would be turned away; it is not counted as one that came."""
-        retirement = self.retiring[n].routing.table.retirements["maps v1"]
+        retirement = self.retiring[n].active_table.table.retirements["maps v1"]
         return self.retiring[n].turns_away(self.clock(self.nodes[n]), retirement, "", f"k{key}")
 
     def come(self, n: int, key: int, customer: str = "acme") -> bool:
