--- a/brambleplank/fleet/retirement/__init__.py
+++ b/brambleplank/fleet/retirement/__init__.py
@@ -1,1 +1,1 @@
-"""Retirements of a traffic class or a version of it: the timeline, and how far the fleet is in it."""
+"""Retirement of a traffic class or of one version of it: the timeline, and the fleet's progress along it."""
--- a/brambleplank/fleet/retirement/evidence.py
+++ b/brambleplank/fleet/retirement/evidence.py
@@ -1,4 +1,4 @@
-"""What speaks against turning callers away: counts of the last minute, coverage, servers that are missing."""
+"""Evidence against turning callers away: recent counts, the coverage of the fleet, and missing servers."""
 
 from __future__ import annotations
 
@@ -9,43 +9,43 @@
 from brambleplank.fleet.leases.counts import CountKind, Coverage, Totals, key_of, no_totals
 from brambleplank.fleet.retirement.plan import Retirement, RetirementStage, RetirementStep
 
-EVIDENCE_WINDOW = 60.0  # seconds over which evidence is weighed
-SAMPLES_PER_WINDOW = 12  # of the counts in a window
-MIN_REACHABLE_SHARE = 0.8  # share of the members that must be heard
-MAX_REFUSAL_INCREASE = 0.1  # share of refused requests of the successor, over what it was, that halts
-RETRY_STORM_FACTOR = 2.0  # times what callers offered before that halts
-MIN_REQUESTS = 20  # in a window, under which nothing is concluded
+EVIDENCE_WINDOW = 60.0  # seconds of counts that are evaluated
+SAMPLES_PER_WINDOW = 12
+MIN_REACHABLE_SHARE = 0.8  # of the members; a retirement is halted below it
+MAX_REFUSAL_INCREASE = 0.1  # of the refused share of the successor's requests; halted above it
+RETRY_STORM_FACTOR = 2.0  # times the requests offered before callers were turned away; halted above it
+MIN_REQUESTS = 20  # in a window, below which nothing is concluded
 
 
 class CountSample(NamedTuple):
-    """The counts over the fleet at one time."""
+    """The fleet's counts at one time."""
 
     at: float
     counts: dict[str, Totals]
 
 
 class Baseline(NamedTuple):
-    """What was counted before callers were turned away."""
+    """Counts of a window before callers were turned away."""
 
-    refused_share: float = 0.0  # of the requests for the successor
-    offered: int = 0  # requests for what is retired
+    refused_share: float = 0.0  # of the successor's requests
+    offered: int = 0  # requests for the retired service type or version
 
 
 class CountSamples:
-    """Counts over the fleet, sampled so that those of the last window can be told from older ones."""
+    """Samples of the fleet's counts, from which those of the last window are computed."""
 
     def __init__(self, counts: Mapping[str, Totals]) -> None:
-        """`counts` are the fleet's, as they change."""
+        """`counts`: the fleet's counts, which are updated in place."""
         self.counts = counts
         self.samples: deque[CountSample] = deque(maxlen=SAMPLES_PER_WINDOW + 1)
 
     def update(self, now: float) -> None:
-        """Takes a sample, if one is due."""
+        """Takes a sample if one is due."""
         if not self.samples or now >= self.samples[-1].at + EVIDENCE_WINDOW / SAMPLES_PER_WINDOW:
             self.samples.append(CountSample(now, {key: list(totals) for key, totals in self.counts.items()}))
 
     def recent_totals(self, service_type: str, version: str, customer: str | None = None) -> Totals:
-        """Returns what was counted in the last window, of one customer or of all."""
+        """Returns the totals of the last window for a version, of one customer or of all."""
         found = no_totals()
         if not self.samples:
             return found
@@ -61,18 +61,18 @@
         return found
 
     def offered(self, retirement: Retirement) -> int:
-        """Returns the requests for what is retired in the last window."""
+        """Returns how many requests for the retired service type or version came in the last window."""
         return self.recent_totals(retirement.service_type, retirement.version)[CountKind.OFFERED]
 
     def refused_share(self, retirement: Retirement) -> float:
-        """Returns the share of the successor's requests that were refused in the last window."""
+        """Returns the share of the successor's requests refused in the last window; 0 if they were few."""
         counted = self.recent_totals(*retirement.successor)
         offered = counted[CountKind.OFFERED]
         return counted[CountKind.REFUSED] / offered if offered >= MIN_REQUESTS else 0.0
 
 
 class Evidence:
-    """Finds reasons to halt a retirement. `servers` gives how many are ready."""
+    """Finds reasons to halt a retirement. `ready_servers` returns how many servers are ready."""
 
     def __init__(
         self,
@@ -86,12 +86,12 @@
         self.baselines: dict[str, Baseline] = {}  # by retirement
 
     def record_baseline(self, retirement: Retirement) -> None:
-        """Notes the counts before callers are turned away."""
+        """Records the counts before callers are turned away."""
         refused_share = self.samples.refused_share(retirement)
         self.baselines[retirement.name] = Baseline(refused_share, self.samples.offered(retirement))
 
     def reason_to_halt(self, now: float, retirement: Retirement, step: RetirementStep) -> str:
-        """Returns why nobody should be turned away now; "" if nothing speaks against it."""
+        """Returns why callers should not be turned away now; "" if there is no reason."""
         coverage = self.coverage(now)
         if coverage.reachable < MIN_REACHABLE_SHARE * coverage.members:
             return f"coverage is too small: {coverage}"
@@ -108,7 +108,7 @@
         return self.customer_below_floor(retirement)
 
     def customer_below_floor(self, retirement: Retirement) -> str:
-        """Returns which customer is served too little while some of its requests are turned away."""
+        """Returns which customer has fewer requests served than its floor while others are turned away."""
         for terms in retirement.customer:
             if not terms.floor:
                 continue
--- a/brambleplank/fleet/retirement/plan.py
+++ b/brambleplank/fleet/retirement/plan.py
@@ -1,8 +1,9 @@
-"""The timeline of a retirement: its shape in the file, its steps, and which callers a share turns away.
+"""The timeline of a retirement: its schema in the file, its steps, and the callers that a step turns away.
 
-A service type, or one version of it, is announced, warned about, tried out in announced pauses, shed by a
-growing share, and ended. The steps are a list in order of their dates; how far the fleet is, is a version of
-its own (`progress.py`), not a clock of anyone's. Free of I/O.
+The retirement of a service type, or of one version of it, is announced; then callers are warned, announced
+pauses rehearse the end, a growing share of the callers is turned away, and at the end all are. The steps are
+in the order of their dates. Which step is in force, the fleet agrees on (`progress.py`); no member derives it
+from its own clock. Free of I/O.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class RetirementStage(StrEnum):
-    """What happens to callers in a step of a retirement."""
+    """How callers are treated in a step of a retirement."""
 
     ANNOUNCED = "announced"
     WARNED = "warned"
@@ -41,7 +42,7 @@
 
 
 def date_key(does: str) -> Meta:
-    """Returns the description of a key that is a date."""
+    """Returns the annotation of a key with a date."""
     return of(does, "2027-03-01T08:00:00Z")
 
 
@@ -128,7 +129,7 @@
     ] = False
 
     def end_for(self, customer: str) -> Date | None:
-        """Returns a customer's own end, where it was granted one."""
+        """Returns the customer's own end date, or None."""
         granted = (terms.ended for terms in self.customer if terms.customer == customer and terms.ended)
         return next(granted, None)
 
@@ -140,16 +141,19 @@
 
 @dataclass(frozen=True)
 class RetirementStep:
-    """Where a retirement can be."""
+    """One step of a timeline."""
 
     stage: RetirementStage
-    share: float  # of the callers that are turned away
-    due: float  # Unix seconds from which it may begin
-    ended_customers: tuple[str, ...] = ()  # customers with more time whose end has come
+    share: float  # of the callers, turned away
+    due: float  # Unix seconds before which it does not begin
+    ended_customers: tuple[str, ...] = ()  # customers with an end date of their own that has come
 
 
 def steps_of(retirement: Retirement) -> list[RetirementStep]:
-    """Returns all steps in order. One left out by a clock that jumps would shed callers without warning."""
+    """Returns all steps in order.
+
+    None may be skipped: after a jump of the clock, callers would be turned away without a warning.
+    """
     steps = [
         RetirementStep(RetirementStage.ANNOUNCED, 0.0, retirement.announced.timestamp()),
         RetirementStep(RetirementStage.WARNED, 0.0, retirement.warned.timestamp()),
@@ -179,34 +183,34 @@
 def caller_position(retirement: str, caller: str) -> float:
     """Returns a caller's position from 0 to 1, the same at every process.
 
-    It is turned away once the share is larger.
+    The caller is turned away once the share exceeds its position.
     """
     digest = hashlib.blake2b(f"{retirement}\0{caller}".encode(), digest_size=POSITION_BYTES).digest()
     return int.from_bytes(digest, "big") / (1 << 8 * POSITION_BYTES)
 
 
 def turns_away(retirement: Retirement, step: RetirementStep, customer: str, caller: str) -> bool:
-    """Returns whether a step turns the caller away."""
+    """Returns whether a step turns a caller away; customers with an end date of their own only after it."""
     if retirement.end_for(customer) is not None:
         return customer in step.ended_customers
     return step.share > 0 and caller_position(retirement.name, caller) < step.share
 
 
 def check_retirement(reading: DocumentReader, n: int, retirement: Retirement) -> None:
-    """Adds the faults of one timeline, by line and key."""
+    """Adds all faults of one retirement, by line and key."""
     at: KeyPath = ("retirement", n)
     check_dates(reading, at, retirement)
     shares = retirement.shares
     if not shares or not all(0 < share < 1 for share in shares) or sorted(set(shares)) != shares:
         reading.add_fault(
-            (*at, "shares"), f"{shares} do not grow between 0 and 1", "write some like [0.1, 0.5]"
+            (*at, "shares"), f"{shares} do not grow between 0 and 1", "write shares like [0.1, 0.5]"
         )
     check_pauses(reading, at, retirement)
     check_customers(reading, at, retirement)
 
 
 def check_dates(reading: DocumentReader, at: KeyPath, retirement: Retirement) -> None:
-    """Adds a fault for each date that is not after the one before it."""
+    """Adds a fault for each date that is not after the previous one."""
     dates = [(key, getattr(retirement, key)) for key in ("announced", "warned", "shed", "ended")]
     for (_, before), (key, after) in pairwise(dates):
         if after <= before:
@@ -215,7 +219,7 @@
 
 
 def check_pauses(reading: DocumentReader, at: KeyPath, retirement: Retirement) -> None:
-    """Adds a fault for each pause that lies outside its time, or within another."""
+    """Adds a fault for each pause that is not between warned and shed, or overlaps another one."""
     earliest = retirement.warned.timestamp()
     for n, pause in sorted(enumerate(retirement.pause), key=lambda each: each[1].at):
         begins = pause.at.timestamp()
@@ -229,11 +233,11 @@
 
 
 def check_customers(reading: DocumentReader, at: KeyPath, retirement: Retirement) -> None:
-    """Adds a fault for each customer that stands twice, or has no more time than all."""
+    """Adds a fault for each customer that is there twice, or ends no later than the others."""
     for n, terms in enumerate(retirement.customer):
         if terms.ended is not None and terms.ended <= retirement.ended:
             reading.add_fault(
-                (*at, "customer", n, "ended"), "no more time than all have", "write a later date"
+                (*at, "customer", n, "ended"), "not later than the end for all", "write a later date"
             )
         if any(terms.customer == other.customer for other in retirement.customer[:n]):
             reading.add_fault((*at, "customer", n, "customer"), "is there twice", "write each customer once")
--- a/brambleplank/fleet/retirement/progress.py
+++ b/brambleplank/fleet/retirement/progress.py
@@ -1,10 +1,11 @@
-"""How far the retirements of the table in force are, as the fleet agreed, and what that means for a request.
-
-The leader moves a retirement on by one step at a time, once its date has come by its clock and the
-step before has lasted for a while; a majority must find so too by clocks of their own. It halts one by
-evidence, and lets it go on after a quiet time. Each process turns callers away by the steps in force alone,
-only while it holds a lease: a halt that does not reach it binds it when its lease expires. Free of I/O;
-`wall` gives Unix seconds.
+"""The step in force of each retirement, on which the fleet agrees, and its effect on requests.
+
+The leader moves a retirement to its next step once the date of that step has come by the leader's clock and
+the current step has lasted its least duration; a majority must accept the date by their own clocks. The
+leader halts a retirement on evidence against it, and resumes it after a time without evidence. Each process
+turns callers away by the step in force only, and before the end only while it holds a lease: a member that
+does not receive a halt stops turning callers away when its lease expires. Free of I/O; `wall_time` returns
+Unix seconds.
 """
 
 from __future__ import annotations
@@ -29,18 +30,18 @@
 from brambleplank.fleet.versions.agreement import VersionAgreement
 from brambleplank.fleet.versions.identity import AgreementCallbacks
 
-TEXT_KIND = 1  # of text, in messages
-MIN_STEP_FRACTION = (
-    1 / 4
-)  # of the time between two steps that the first lasts at least, whatever a clock says
+TEXT_KIND = 1  # of retirement positions, in messages of version agreements
+# A step lasts at least this fraction of the time between its date and the next one, and at least the duration
+# below in seconds, even if the clock jumps.
+MIN_STEP_FRACTION = 1 / 4
 MIN_STEP_DURATION = 2 * HEARTBEAT_INTERVAL
 CLOCK_TOLERANCE = LEASE_DURATION  # seconds by which a member's clock may be behind the leader's
-HALT_RECOVERY_TIME = 30.0  # seconds without evidence until a halt is over
-NOT_BEGUN = -1  # the step of a retirement that was not announced yet
+HALT_RECOVERY_TIME = 30.0  # seconds without evidence after which a halt ends
+NOT_BEGUN = -1  # the step number of a retirement that is not announced yet
 
 
 class RetirementPosition(msgspec.Struct, array_like=True, frozen=True):
-    """How far one retirement is: the step, counted from 0, and why it is halted."""
+    """The number of the step in force of a retirement, from 0, and why it is halted; "" if it is not."""
 
     name: str
     step: int
@@ -53,7 +54,7 @@
 
 
 class RetirementTable(Protocol):
-    """A route table, as far as retirements need it."""
+    """The part of a route table that retirements need."""
 
     @property
     def retirements(self) -> Mapping[str, Retirement]:
@@ -61,22 +62,22 @@
 
 
 class ActiveTable(Protocol):
-    """Holds the route table in force at this process."""
+    """Provides the route table in force at this process."""
 
     @property
     def table(self) -> RetirementTable:
-        """The table in force now."""
+        """The table in force."""
 
 
 class StepCache:
-    """The steps of the retirements of one table."""
+    """Caches the steps of the retirements of one table."""
 
     def __init__(self) -> None:
         self.table: object = None
         self.steps: dict[str, list[RetirementStep]] = {}
 
     def steps_of(self, table: object, retirement: Retirement) -> list[RetirementStep]:
-        """Returns the steps of a retirement of a table; those of another table are forgotten."""
+        """Returns the steps of a retirement of a table; a new table empties the cache."""
         if self.table is not table:
             self.table = table
             self.steps = {}
@@ -86,7 +87,7 @@
 
 
 class RetirementProgress:
-    """`servers` gives how many are ready."""
+    """The progress of the retirements; `ready_servers` returns how many servers are ready."""
 
     def __init__(
         self,
@@ -100,13 +101,13 @@
         self.active_table = active_table
         self.wall_time = wall_time
         self.log = log
-        self.now = fleet.identity.began  # at the last turn
-        self.positions: dict[str, RetirementPosition] = {}
-        self.entered_at: dict[str, float] = {}  # when a step came into force here
+        self.now = fleet.identity.began  # at the last tick
+        self.positions: dict[str, RetirementPosition] = {}  # in force, by retirement
+        self.entered_at: dict[str, float] = {}  # when the step of a retirement came into force here
         self.step_cache = StepCache()
         self.samples = CountSamples(fleet.counts.fleet)
         self.evidence = Evidence(self.samples, fleet.coverage, ready_servers)
-        self.last_evidence_at: dict[str, float] = {}  # when a reason to halt was last found
+        self.last_evidence_at: dict[str, float] = {}  # by retirement: when a reason to halt was last found
         self.agreement = VersionAgreement(
             fleet.agreement_identity(TEXT_KIND, "retirements"),
             AgreementCallbacks(fleet.send, self.review, self.apply, log),
@@ -114,7 +115,7 @@
             one_objection_rejects=False,
         )
         fleet.agreements.add(self.agreement)
-        # A step back would serve again who was told to go.
+        # After a step back, callers that were told to use the successor would be served again.
         fleet.monotonic.add(
             lambda: {f"step of {name}": position.step for name, position in self.positions.items()}
         )
@@ -122,12 +123,12 @@
     # Requests.
 
     def current_step(self, retirement: Retirement) -> RetirementStep | None:
-        """Returns the step in force; None: nothing was announced yet."""
+        """Returns the step in force of a retirement; None if it is not announced yet."""
         position = self.positions.get(retirement.name)
         return self.numbered_step(retirement, position.step) if position else None
 
     def numbered_step(self, retirement: Retirement, number: int) -> RetirementStep | None:
-        """Returns the step of a number, if there is one."""
+        """Returns the step with a number, or None."""
         steps = self.steps_of(retirement)
         return steps[number] if 0 <= number < len(steps) else None
 
@@ -136,12 +137,12 @@
         return self.step_cache.steps_of(self.active_table.table, retirement)
 
     def warns(self, retirement: Retirement) -> bool:
-        """Returns whether callers are warned."""
+        """Returns whether the step in force warns callers."""
         step = self.current_step(retirement)
         return step is not None and step.stage in STAGES_WARNING
 
     def turns_away(self, now: float, retirement: Retirement, customer: str, caller: str) -> bool:
-        """Returns whether a caller is turned away now; a unit of the ceiling is taken for it."""
+        """Returns whether a caller is turned away now; if so, takes a unit of the ceiling."""
         step = self.current_step(retirement)
         position = self.positions.get(retirement.name)
         if step is None or position is None or retirement.halted:
@@ -150,11 +151,11 @@
             return False
         may_halt = step.stage != RetirementStage.ENDED
         if may_halt and (position.halt_reason or self.fleet.partitioned or not self.fleet.has_lease(now)):
-            return False  # Partitioned, it would not receive a halt; callers are served until it can.
+            return False  # A partitioned process would not receive a halt, so it serves its callers.
         return not retirement.ceiling or self.fleet.take(now, retirement.ceiling)
 
     def migration_count(self, now: float, retirement: Retirement, session_count: int) -> int:
-        """Returns how many of the sessions with an ended version are to be migrated in this second."""
+        """Returns how many sessions of an ended service type or version to migrate in this second."""
         step = self.current_step(retirement)
         if step is None or step.stage != RetirementStage.ENDED or retirement.halted or not session_count:
             return 0
@@ -170,9 +171,9 @@
     # Called by the agreement.
 
     def review(self, digest: int, text: bytes, done: Callable[[str], None]) -> None:  # noqa: ARG002
-        """Judges proposed steps by this process's own clock.
+        """Reviews proposed steps by this process's own clock.
 
-        Otherwise one clock that has jumped would turn callers away a month early.
+        Otherwise a jump of one clock could turn callers away a month early.
         """
         try:
             positions = POSITIONS_DECODER.decode(text)
@@ -183,7 +184,7 @@
         done(next((objection for objection in objections if objection), ""))
 
     def objection(self, position: RetirementPosition) -> str:
-        """Returns what this process has against a proposed step; "" if nothing."""
+        """Returns the objection to a proposed position; "" if there is none."""
         retirement = self.active_table.table.retirements.get(position.name)
         before = self.positions.get(position.name)
         number = before.step if before else NOT_BEGUN
@@ -198,7 +199,7 @@
         return ""
 
     def apply(self, version: int, digest: int) -> None:  # noqa: ARG002
-        """Puts the steps of a version in force."""
+        """Puts the positions of a version in force."""
         positions = {
             position.name: position
             for position in POSITIONS_DECODER.decode(self.agreement.texts.text(digest))
@@ -212,7 +213,7 @@
         self.positions = positions
 
     def log_position(self, position: RetirementPosition) -> None:
-        """Logs where a retirement of the table in force is."""
+        """Logs the position of a retirement, if the table in force has it."""
         retirement = self.active_table.table.retirements.get(position.name)
         step = self.numbered_step(retirement, position.step) if retirement is not None else None
         if step is None:
@@ -224,7 +225,7 @@
     # As the leader.
 
     def tick(self, now: float) -> None:
-        """Called about every tenth of a second; the leader proposes steps when they are due."""
+        """Samples the counts and proposes due positions, if this process leads; about ten times a second."""
         self.now = now
         proposer = self.agreement.proposer
         if proposer.leader_since is None or not proposer.recovered or proposer.proposal is not None:
@@ -237,7 +238,7 @@
             proposer.propose(now, self.agreement.highest_version + 1, digest, self.fleet.identity.number)
 
     def next_position(self, now: float, retirement: Retirement) -> RetirementPosition | None:
-        """Returns where a retirement should be: as it is, one step on, halted, or no longer halted."""
+        """Returns the position that a retirement should have: unchanged, one step on, halted or resumed."""
         position = self.positions.get(retirement.name)
         number = position.step if position else NOT_BEGUN
         step = self.numbered_step(retirement, number)
@@ -254,7 +255,10 @@
     def halt_reason(
         self, now: float, retirement: Retirement, step: RetirementStep | None, reason: str
     ) -> str:
-        """Returns why a retirement should be halted, given why it is; "" if it should not be."""
+        """Returns why a retirement should be halted, or "".
+
+        `reason` is why it is halted now; it stays until no evidence was found for a time.
+        """
         if step is None or not is_turning_away(step):
             return ""
         found = self.evidence.reason_to_halt(now, retirement, step)
@@ -269,7 +273,7 @@
     def is_due(
         self, now: float, retirement: Retirement, step: RetirementStep | None, following: RetirementStep
     ) -> bool:
-        """Returns whether a step has lasted as long as it has to, and the date of the next has come."""
+        """Returns whether a step has lasted its least duration, and the date of the next one has come."""
         entered_at = self.entered_at.get(retirement.name)
         if step is not None and entered_at is not None:
             lasts = max(MIN_STEP_DURATION, MIN_STEP_FRACTION * (following.due - step.due))
@@ -279,5 +283,5 @@
 
 
 def is_turning_away(step: RetirementStep | None) -> bool:
-    """Returns whether callers are turned away in a step before the end."""
+    """Returns whether a step turns callers away before the end of the retirement."""
     return step is not None and step.stage in STAGES_TURNING_AWAY
