--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -29,16 +29,16 @@
 KEYS = range(9)  # rules name 0 to 7
 
 
-def some(values: list[str]) -> st.SearchStrategy[list[str]]:
+def value_lists(values: list[str]) -> st.SearchStrategy[list[str]]:
     return st.lists(st.sampled_from(values), max_size=2, unique=True)
 
 
 rule_tables = st.fixed_dictionaries(
     {
         "does": st.sampled_from(["serve", "refuse"]),
-        "service_type": some(TYPES),
-        "customer": some(CUSTOMERS),
-        "version": some(VERSIONS),
+        "service_type": value_lists(TYPES),
+        "customer": value_lists(CUSTOMERS),
+        "version": value_lists(VERSIONS),
         "keys": st.lists(
             st.tuples(st.integers(0, 7), st.integers(0, 7)).map(lambda ends: f"{min(ends):x}-{max(ends):x}"),
             max_size=2,
@@ -62,10 +62,10 @@
 
 
 def matches(rule: dict[str, Any], flow: tuple[str, str, str, int]) -> bool:
-    kind, customer, version, key = flow
+    service_type, customer, version, key = flow
     ranges = [tuple(int(end, 16) for end in text.split("-")) for text in rule.get("keys", [])]
     return (
-        kind in (rule.get("service_type") or [kind])
+        service_type in (rule.get("service_type") or [service_type])
         and customer in (rule.get("customer") or [customer])
         and version in (rule.get("version") or [version])
         and (not ranges or any(a <= key <= b for a, b in ranges))
@@ -82,12 +82,12 @@
     regions: list[set[Any]] = [set() for _ in rules]
     decided = set()
     for flow in product(TYPES, customers, versions, KEYS):
-        fits = [n for n, rule in enumerate(rules) if matches(rule, flow)]
-        for n in fits:
+        matching = [n for n, rule in enumerate(rules) if matches(rule, flow)]
+        for n in matching:
             regions[n].add(flow)
-        decided.update(fits[:1])
+        decided.update(matching[:1])
         found = table.find(*flow)
-        assert (found.number if found else None) == (fits[0] if fits else None)
+        assert (found.number if found else None) == (matching[0] if matching else None)
     known = LintContext(TYPES, CUSTOMERS if customers_known else ())
     findings = lint(table, known)
     line_of = [route.line for route in table.routes]
@@ -165,13 +165,13 @@
 # Editions over a fleet in virtual time.
 
 
-class Agreeing(FleetSimulation):
+class AgreementSimulation(FleetSimulation):
     """Each start has its file; a text that holds a member's number after "not" is objected to there."""
 
     def __init__(self, members: int, seed: int, files: Callable[[int], bytes] = lambda n: b"file") -> None:
         self.files = files
         self.history: dict[int, list[tuple[int, int]]] = defaultdict(list)  # by member, over all its starts
-        self.known: dict[int, int] = {}  # which text an edition is
+        self.text_by_version: dict[int, int] = {}  # which text an edition is
         super().__init__(members, [], seed, check=False)
 
     def start(self, node: SimulatedMember) -> None:
@@ -182,18 +182,18 @@
         def review(digest: int, text: bytes, done: Callable[[str], None]) -> None:
             done("I object" if b"not %d" % node.number in text else "")
 
-        def take_up(number: int, digest: int) -> None:
-            if self.known.setdefault(number, digest) != digest:
-                raise BrokenError(f"edition {number} is two texts", "editions")
+        def apply(number: int, digest: int) -> None:
+            if self.text_by_version.setdefault(number, digest) != digest:
+                raise BrokenError(f"version {number} has two texts", "versions")
             self.history[node.number].append((node.start_number, number))
 
-        made = VersionAgreement(
+        agreement = VersionAgreement(
             fleet.agreement_identity(0, "routes"),
-            AgreementCallbacks(fleet.send, review, take_up, node.log_lines.append),
+            AgreementCallbacks(fleet.send, review, apply, node.log_lines.append),
             fleet.rng,
         )
-        fleet.agreements.add(made)
-        made.set_initial_text(self.files(node.number))
+        fleet.agreements.add(agreement)
+        agreement.set_initial_text(self.files(node.number))
 
     def agreement(self, n: int) -> VersionAgreement:
         fleet = self.nodes[n].fleet
@@ -210,7 +210,7 @@
 
 
 def test_long_text_is_agreed_over_lossy_links() -> None:
-    simulation = Agreeing(5, 1)
+    simulation = AgreementSimulation(5, 1)
     simulation.run(15)
     assert simulation.digests() == {digest_of(b"file")}
     simulation.links.loss = 0.2
@@ -221,7 +221,7 @@
 
 
 def test_objection_rejects_a_text_and_reaches_its_publisher() -> None:
-    simulation = Agreeing(5, 2)
+    simulation = AgreementSimulation(5, 2)
     simulation.run(15)
     simulation.publish(1, b"not 4")
     simulation.run(10)
@@ -230,7 +230,7 @@
 
 
 def test_one_of_two_publishers_wins() -> None:
-    simulation = Agreeing(5, 3)
+    simulation = AgreementSimulation(5, 3)
     simulation.run(15)
     simulation.publish(1, b"one")
     simulation.publish(2, b"two")
@@ -242,7 +242,7 @@
 
 def test_killed_publisher_leaves_one_text() -> None:
     for after in (0.5, 1.0, 1.5, 2.0, 2.5, 3.0):
-        simulation = Agreeing(5, 4)
+        simulation = AgreementSimulation(5, 4)
         simulation.run(15)
         simulation.publish(2, Random(2).randbytes(4000))
         simulation.run(after)
@@ -256,7 +256,7 @@
 
 def test_version_of_the_majority_reaches_minority_and_restarted_member() -> None:
     """A text from the minority is refused at the heal."""
-    simulation = Agreeing(5, 5, lambda n: b"file %d" % n)
+    simulation = AgreementSimulation(5, 5, lambda n: b"file %d" % n)
     simulation.run(15)
     simulation.cut({0, 1}, {2, 3, 4})
     simulation.run(25)
@@ -278,39 +278,39 @@
 
 
 def test_restarted_member_trusts_no_single_claim() -> None:
-    simulation = Agreeing(5, 6)
+    simulation = AgreementSimulation(5, 6)
     simulation.run(15)
     simulation.kill(simulation.nodes[4])
     simulation.start(simulation.nodes[4])
-    lie = messages.VersionAnnouncement(2**50, 0, 0, 0, 2**50, digest_of(b"lie"), 0, 0)
+    forged = messages.VersionAnnouncement(2**50, 0, 0, 0, 2**50, digest_of(b"lie"), 0, 0)
     for _ in range(20):
         simulation.run(0.1)
         fleet = simulation.nodes[4].fleet
         assert fleet is not None
         fleet.agreements.by_kind[0].texts.store(b"lie")
-        fleet.receive_datagram(simulation.clock(simulation.nodes[4]), 3, messages.encode(lie))
+        fleet.receive_datagram(simulation.clock(simulation.nodes[4]), 3, messages.encode(forged))
     simulation.run(10)
     assert simulation.digests() == {digest_of(b"file")}
 
 
-def agree(seed: int) -> None:
+def play_version_faults(seed: int) -> None:
     """Random faults, one process at a time starting anew, with texts published now and then."""
     rng = Random(seed)
-    simulation = Agreeing(rng.choice([3, 5]), seed, lambda n: b"file %d" % n)
+    simulation = AgreementSimulation(rng.choice([3, 5]), seed, lambda n: b"file %d" % n)
     for n in range(12):
         simulation.run(rng.uniform(1, 10))
-        kind = rng.random()
+        fault = rng.random()
         node = rng.choice(simulation.nodes)
-        if kind < 0.3:
+        if fault < 0.3:
             simulation.publish(node.number, b"text %d" % n)
-        elif kind < 0.45:
+        elif fault < 0.45:
             part = set(rng.sample(range(len(simulation.nodes)), rng.randint(1, len(simulation.nodes) - 1)))
             simulation.cut(part, set(range(len(simulation.nodes))) - part)
-        elif kind < 0.6:
+        elif fault < 0.6:
             simulation.links.cut.clear()
-        elif kind < 0.75:
+        elif fault < 0.75:
             simulation.stall(node, rng.choice([2, 6, 12]))
-        elif kind < 0.85:
+        elif fault < 0.85:
             simulation.links.loss = rng.choice([0, 0.2])
             simulation.links.max_delay = rng.choice([0.02, 0.5])
         else:
@@ -323,16 +323,16 @@
     simulation.links = type(simulation.links)()
     simulation.run(60)
     if len(simulation.digests()) != 1:
-        raise BrokenError(f"{len(simulation.digests())} texts after the heal", "editions")
+        raise BrokenError(f"{len(simulation.digests())} texts after the heal", "versions")
 
 
 @pytest.mark.parametrize("first", range(0, 160, 20))
 def test_versions_never_regress_or_diverge_under_random_faults(first: int) -> None:
     for seed in range(first, first + 20):
         try:
-            agree(seed)
+            play_version_faults(seed)
         except BrokenError as broken:
-            raise AssertionError(f"agree({seed})") from broken
+            raise AssertionError(f"play_version_faults({seed})") from broken
 
 
 def test_leader_without_recovery_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -340,11 +340,11 @@
     monkeypatch.setattr(Proposer, "recover", lambda self, now: setattr(self, "recovered", True))
     with pytest.raises(BrokenError):
         for seed in range(60):
-            agree(seed)
+            play_version_faults(seed)
 
 
 def test_versions_hold_under_the_faults_of_budgets() -> None:
     for seed in range(6):
-        simulation = Agreeing(3, seed)
+        simulation = AgreementSimulation(3, seed)
         play_random_faults(simulation, 30, Random(seed))
     assert proposer.PROPOSAL_TIMEOUT > proposer.VOTE_WAIT
