--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -1,4 +1,4 @@
-"""Retirements: timelines, who is turned away, and fleets that move through them as one, in virtual time."""
+"""Retirements: timelines, the callers turned away, and the progress of a whole fleet in virtual time."""
 
 from __future__ import annotations
 
@@ -44,7 +44,10 @@
 
 
 def timeline(more: str = "", **changes: Any) -> str:
-    """Announced at 0 s, warned at 10, a pause at 40 for 10 s, shed from 100 to 200, as a file has it."""
+    """Returns a file of rules with one retirement.
+
+    It is announced at 0 s, warned at 10, paused at 40 for 10 s, and shed from 100 to 200.
+    """
     keys = {
         "name": '"maps v1"',
         "service_type": '"maps"',
@@ -176,11 +179,11 @@
 
 
 class RetirementSimulation(FleetSimulation):
-    """Each member goes by the same file, and by a wall clock of its own."""
+    """A fleet whose members have the same file of rules, and a wall clock each."""
 
     def __init__(self, members: int, seed: int, text: str, budgets: list[Budget] | None = None) -> None:
         self.text = text.encode()
-        self.clock_steps: dict[int, float] = {}  # of wall clocks, in seconds
+        self.clock_steps: dict[int, float] = {}  # seconds by which a member's wall clock was stepped
         self.servers = 3  # ready
         self.started_at: float = 0.0
         self.progress: dict[int, RetirementProgress] = {}
@@ -226,7 +229,7 @@
         self.at(self.now + 0.05, tick)
 
     def wall_time(self, n: int) -> float:
-        """Unix seconds at a member; the timeline begins when the story says so."""
+        """Returns Unix seconds at a member: a time long before the timeline, until the test starts that."""
         return (
             BEGINS.timestamp()
             - 1e6 * (not self.started_at)
@@ -243,7 +246,7 @@
         return {self.position(node.number) for node in self.nodes if node.fleet}
 
     def is_turned_away(self, n: int, key: int) -> bool:
-        """Whether a caller would be turned away; it is not counted as one that came."""
+        """Returns whether a caller would be turned away, without counting a request."""
         retirement = self.progress[n].active_table.table.retirements["maps v1"]
         return self.progress[n].turns_away(self.clock(self.nodes[n]), retirement, "", f"k{key}")
 
@@ -253,7 +256,7 @@
         return self.admission[n].admit(self.clock(node), flow, "maps", customer, "", key, None)[0]
 
     def run_until(self, seconds: float) -> None:
-        """So long after the timeline begins."""
+        """Runs until so many seconds after the start of the timeline."""
         self.run(seconds - (self.now - self.started_at))
 
 
@@ -287,7 +290,7 @@
 
 
 def test_clock_jumps_skip_no_step() -> None:
-    """One clock that jumps moves nothing; where all jump, every step still has its time."""
+    """One clock that jumps moves no step; when all clocks jump, each step still lasts its least duration."""
     simulation = start_retirement()
     simulation.run_until(30)
     leader = simulation.leader()
@@ -306,7 +309,7 @@
 
 
 def test_partitioned_member_turns_nobody_away_and_new_leader_resumes() -> None:
-    """The partitioned member stays at its step meanwhile."""
+    """Meanwhile the partitioned member stays at its step."""
     simulation = start_retirement()
     simulation.run_until(110)
     leader = simulation.leader()
@@ -320,7 +323,7 @@
     simulation.run_until(170)
     assert simulation.position(alone) == (4, "")
     others = [n for n in range(5) if n not in (alone, leader.number)]
-    # With three of five heard coverage is too small to know.
+    # Three of five reachable members are too small a coverage, so the new leader halts the retirement.
     assert {simulation.position(n)[1] for n in others} == {"coverage is too small: 3 of 5 heard"} or all(
         simulation.position(n)[1].startswith("coverage is too small: 3 of 5") for n in others
     )
@@ -411,7 +414,7 @@
     simulation.run_until(30)
     progress = simulation.progress[0]
     progress.positions["maps v1"] = RetirementPosition("maps v1", 0)
-    with pytest.raises(BrokenError):  # as seen from outside
+    with pytest.raises(BrokenError):  # raised by the simulation's own check
         simulation.run(0.5)
     simulation.steps[0].append(0)
     simulation.run(0.5)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""The route table and its lint, held against trying every flow; and editions that a whole fleet agrees on."""
+"""The route table and its lint, compared with exhaustive search; agreement on versions by a whole fleet."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 TYPES = ["a", "b"]
 CUSTOMERS = ["x", "y"]
 VERSIONS = ["v1", "v2"]
-KEYS = range(9)  # rules name 0 to 7
+KEYS = range(9)  # rules name keys from 0 to 7
 
 
 def value_lists(values: list[str]) -> st.SearchStrategy[list[str]]:
@@ -106,7 +106,8 @@
         )
     }
     reported = {f.line for f in findings if f.kind == "contradictory"}
-    # A rule that names all values there are is not round one that names none, though no flow tells.
+    # The lint also reports overlaps with rules that list all known values. It does not treat such a rule as
+    # enclosing one that names no value, although no request shows the difference.
     assert contradictory <= reported
     if not customers_known and not versions_known and all(len(r["service_type"]) < 2 for r in rules):
         assert reported == contradictory
@@ -162,16 +163,16 @@
     assert table is None and any(str(fault).startswith(named) for fault in faults), faults
 
 
-# Editions over a fleet in virtual time.
+# Agreement on versions over a fleet in virtual time.
 
 
 class AgreementSimulation(FleetSimulation):
-    """Each start has its file; a text that holds a member's number after "not" is objected to there."""
+    """A fleet whose members agree on texts; a member objects to a text with its number after "not"."""
 
     def __init__(self, members: int, seed: int, files: Callable[[int], bytes] = lambda n: b"file") -> None:
         self.files = files
         self.history: dict[int, list[tuple[int, int]]] = defaultdict(list)  # by member, over all its starts
-        self.text_by_version: dict[int, int] = {}  # which text an edition is
+        self.text_by_version: dict[int, int] = {}  # digests
         super().__init__(members, [], seed, check=False)
 
     def start(self, node: SimulatedMember) -> None:
@@ -255,7 +256,7 @@
 
 
 def test_version_of_the_majority_reaches_minority_and_restarted_member() -> None:
-    """A text from the minority is refused at the heal."""
+    """A publish request of the minority is refused once the partition is over."""
     simulation = AgreementSimulation(5, 5, lambda n: b"file %d" % n)
     simulation.run(15)
     simulation.cut({0, 1}, {2, 3, 4})
@@ -271,10 +272,8 @@
     assert any("came first; offer it again" in line for line in simulation.nodes[0].log_lines)
     simulation.kill(simulation.nodes[4])
     simulation.start(simulation.nodes[4])
-    simulation.run(3)
-    assert (
-        len(simulation.digests()) == 1
-    )  # before its promises count, and before it would begin with its file
+    simulation.run(3)  # before the restarted member would grant support, or serve by its own file
+    assert len(simulation.digests()) == 1
 
 
 def test_restarted_member_trusts_no_single_claim() -> None:
@@ -294,7 +293,7 @@
 
 
 def play_version_faults(seed: int) -> None:
-    """Random faults, one process at a time starting anew, with texts published now and then."""
+    """Plays random faults, of which at most one restarts a process at a time, and publishes texts."""
     rng = Random(seed)
     simulation = AgreementSimulation(rng.choice([3, 5]), seed, lambda n: b"file %d" % n)
     for n in range(12):
@@ -319,7 +318,7 @@
             simulation.kill(node)
             simulation.start(node)
             simulation.links.cut.clear()
-            simulation.run(20)  # it hears what is in force before the next one goes
+            simulation.run(20)  # the restarted member learns the version in force before the next restart
     simulation.links = type(simulation.links)()
     simulation.run(60)
     if len(simulation.digests()) != 1:
@@ -336,7 +335,10 @@
 
 
 def test_leader_without_recovery_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The faults: a new office asks nobody; members give up what they agreed to at any office's word."""
+    """A leader that skips recovery makes members drop proposals that may be in force.
+
+    The checks of the simulation must detect it.
+    """
     monkeypatch.setattr(Proposer, "recover", lambda self, now: setattr(self, "recovered", True))
     with pytest.raises(BrokenError):
         for seed in range(60):
