--- a/brambleplank/fleet/routing/lint.py
+++ b/brambleplank/fleet/routing/lint.py
@@ -168,7 +168,7 @@
         self, route: Route, types: list[str], customers: list[str], versions: list[str]
     ) -> list[int]:
         """Returns the earlier rules that decide all keys of a rule for these values; empty if any is left."""
-        taken: set[int] = set()
+        covering: set[int] = set()
         for service_type, customer, version in product(types, customers, versions):
             for first, last in route.ranges:
                 key = first
@@ -176,9 +176,9 @@
                     claim = self.table.furthest_claim(service_type, customer, version, key, route.number)
                     if claim is None:
                         return []
-                    taken.add(claim.rule)
+                    covering.add(claim.rule)
                     key = claim.last + 1
-        return sorted(taken)
+        return sorted(covering)
 
     def add_shadowed(self, route: Route, others: list[int]) -> None:
         """Adds the finding that other rules shadow a rule."""
--- a/brambleplank/fleet/versions/proposer.py
+++ b/brambleplank/fleet/versions/proposer.py
@@ -25,7 +25,7 @@
     version: int
     digest: int
     publisher: int | None  # the member that requested it; None: recovered from the members' reports
-    since: float  # when it was first announced
+    proposed_at: float
     votes: dict[int, str] = field(default_factory=dict)  # objections by member; "": accepted
 
 
@@ -98,7 +98,7 @@
         self.proposal: Proposal | None = None
         self.queued_requests: dict[int, PublicationRequest] = {}  # by member
         self.announcements = 0  # sent by this process; the sequence of the newest one
-        self.reached_at: dict[int, float] = {}  # by member: when it was last known to be reachable
+        self.last_reachable_at: dict[int, float] = {}  # by member
 
     def become_leader(self, now: float, term: int) -> None:
         """Starts a term; the state of the members is not known yet."""
@@ -118,7 +118,7 @@
 
     def note_reachable(self, now: float, member: int) -> None:
         """Records that a member is reachable now."""
-        self.reached_at[member] = now
+        self.last_reachable_at[member] = now
 
     def receive_report(self, now: float, member: int, report: messages.VersionReport) -> None:
         """Records a member's report. A member without a version is sent the announcement of the one in force.
@@ -127,7 +127,7 @@
         """
         if self.leader_since is not None:
             self.reports[member] = report
-            self.reached_at[member] = now
+            self.last_reachable_at[member] = now
         acceptor = self.acceptor
         if not report.version and acceptor.version and member != self.identity.number:
             announcement = messages.VersionAnnouncement(
@@ -278,16 +278,16 @@
         """Commits the proposal, abandons it, or waits for more votes."""
         objections = self.effective_objections(proposal)
         accepted = len(proposal.votes) - len(objections)
-        reachable = [member for member, at in self.reached_at.items() if now < at + LEASE_DURATION]
+        reachable = [member for member, at in self.last_reachable_at.items() if now < at + LEASE_DURATION]
         undecided = any(member not in proposal.votes for member in reachable)
-        waiting = undecided and now < proposal.since + VOTE_WAIT
+        waiting = undecided and now < proposal.proposed_at + VOTE_WAIT
         majority = self.identity.majority
         if objections and self.objections_reject(objections):
             member, reason = next(iter(objections.items()))
             self.abandon(proposal, f"member {member} objects: {reason}")
         elif accepted >= majority and not waiting:
             self.commit(proposal)
-        elif now >= proposal.since + PROPOSAL_TIMEOUT:
+        elif now >= proposal.proposed_at + PROPOSAL_TIMEOUT:
             needed = f"{accepted} of {self.identity.members} agreed, {majority} are needed"
             self.abandon(proposal, needed)
 
--- a/brambleplank/fleet/versions/texts.py
+++ b/brambleplank/fleet/versions/texts.py
@@ -13,7 +13,7 @@
 
 MAX_TEXT_SIZE = 1024 * 1024  # bytes
 CHUNKS_PER_REQUEST = 24  # sent in response to one request
-CHUNK_RETRY = HEARTBEAT_INTERVAL / 4  # seconds until missing chunks are requested again
+CHUNK_RETRY_INTERVAL = HEARTBEAT_INTERVAL / 4  # seconds until missing chunks are requested again
 MAX_STORED_TEXTS = 4
 DIGEST_SIZE = 6  # bytes
 COMPRESSION_LEVEL = 9  # of zlib
@@ -30,7 +30,7 @@
 
     digest: int
     source: int  # the member that sends the chunks
-    total: int = 0  # chunks of the text, as stated by the newest chunk
+    chunk_count: int = 0  # as stated by the newest chunk
     chunks: dict[int, bytes] = field(default_factory=dict)
     requested_at: float = float("-inf")
 
@@ -92,7 +92,7 @@
     def request_chunks(self, now: float) -> None:
         """Requests chunks from the first missing one on, unless the last request was too recent."""
         download = self.download
-        if download is None or now < download.requested_at + CHUNK_RETRY:
+        if download is None or now < download.requested_at + CHUNK_RETRY_INTERVAL:
             return
         download.requested_at = now
         request = messages.ChunkRequest(self.identity.incarnation, download.digest, download.first_missing())
@@ -116,10 +116,10 @@
             return
         if chunk.total * messages.CHUNK_SIZE > MAX_TEXT_SIZE:
             return
-        download.total = chunk.total
+        download.chunk_count = chunk.total
         if chunk.index < chunk.total:
             download.chunks[chunk.index] = chunk.data
-        if len(download.chunks) >= download.total:
+        if len(download.chunks) >= download.chunk_count:
             self.download = None
             self.complete(download)
         elif download.first_missing() % CHUNKS_PER_REQUEST == 0:
@@ -129,7 +129,7 @@
     def complete(self, download: Download) -> None:
         """Stores a downloaded text, if its digest is the expected one."""
         try:
-            data = b"".join(download.chunks[n] for n in range(download.total))
+            data = b"".join(download.chunks[n] for n in range(download.chunk_count))
             # Without the limit, a small download could decompress to any size.
             text = zlib.decompressobj().decompress(data, MAX_TEXT_SIZE)
         except (zlib.error, KeyError):
