--- a/brambleplank/fleet/routing/active_routes.py
+++ b/brambleplank/fleet/routing/active_routes.py
@@ -88,8 +88,8 @@
     def is_ready(self, now: float) -> bool:
         """Returns whether requests may be served.
 
-        Without an answer of other members, the process serves by its own file: an outdated file does less
-        harm than a process that never starts to serve.
+        If no member reports the version in force in time, the process serves by its own file, as an outdated
+        file does less harm than a process that never serves.
         """
         if self.agreement.version or self.uses_own_file:
             return True
--- a/brambleplank/fleet/routing/lint.py
+++ b/brambleplank/fleet/routing/lint.py
@@ -218,7 +218,7 @@
             route,
             FindingKind.CONTRADICTORY,
             f"in part it matches what {earlier.label} decides otherwise",
-            f"let one of them match only a part of the other, or nothing that line {earlier.line} matches",
+            f"narrow it or line {earlier.line} until one lies within the other, or they do not overlap",
             self.example(route, earlier),
         )
 
--- a/brambleplank/fleet/routing/retirement_lint.py
+++ b/brambleplank/fleet/routing/retirement_lint.py
@@ -78,7 +78,7 @@
         if planned is None or (planned.stage, planned.share) != (current.stage, current.share):
             where = f"it is {current.stage}, {current.share:.0%} turned away"
             wrong = f"{where}, and this would move it back"
-            report(FindingKind.CONTRADICTORY, wrong, "keep the steps up to this one as they were")
+            report(FindingKind.CONTRADICTORY, wrong, "keep all steps up to the current one")
 
     def check_successor(self, retirement: Retirement, report: ReportFinding) -> None:
         """Checks that the successor can replace what is retired."""
--- a/brambleplank/fleet/versions/agreement.py
+++ b/brambleplank/fleet/versions/agreement.py
@@ -79,7 +79,7 @@
         self.version = 0  # in force at this member; 0: none yet
         self.digest = 0  # of the text in force
         self.is_current = False  # whether it has learned, since its start, which version is in force
-        self.highest_version = 0  # in force or proposed, in any announcement so far
+        self.highest_version = 0  # the highest one seen, in force or proposed
         self.accepted = NOTHING_ACCEPTED
         self.file_digest: int | None = None  # of this process's file, used until a version is in force
         self.publication: PublicationRequest | None = None  # requested by this process, not decided yet
--- a/brambleplank/fleet/versions/proposer.py
+++ b/brambleplank/fleet/versions/proposer.py
@@ -143,7 +143,7 @@
             self.callbacks.send(announcement, member)
 
     def receive_publish_request(self, member: int, request: messages.PublishRequest) -> None:
-        """Queues a member's request to publish a text, or responds at once if there is nothing to propose."""
+        """Queues a member's request to publish a text, unless it can be answered at once."""
         if self.leader_since is None:
             return
         version = self.acceptor.version
