--- a/brambleplank/fleet/retirement/evidence.py
+++ b/brambleplank/fleet/retirement/evidence.py
@@ -108,7 +108,7 @@
         return self.customer_below_floor(retirement)
 
     def customer_below_floor(self, retirement: Retirement) -> str:
-        """Returns which customer has fewer requests served than its floor while others are turned away."""
+        """Returns which customer has fewer requests served than its floor while some are turned away."""
         for terms in retirement.customer:
             if not terms.floor:
                 continue
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -61,8 +61,8 @@
     return table
 
 
-def matches(rule: dict[str, Any], flow: tuple[str, str, str, int]) -> bool:
-    service_type, customer, version, key = flow
+def matches(rule: dict[str, Any], request: tuple[str, str, str, int]) -> bool:
+    service_type, customer, version, key = request
     ranges = [tuple(int(end, 16) for end in text.split("-")) for text in rule.get("keys", [])]
     return (
         service_type in (rule.get("service_type") or [service_type])
@@ -81,15 +81,15 @@
     table = table_of(rules, VERSIONS if versions_known else None)
     regions: list[set[Any]] = [set() for _ in rules]
     decided = set()
-    for flow in product(TYPES, customers, versions, KEYS):
-        matching = [n for n, rule in enumerate(rules) if matches(rule, flow)]
+    for request in product(TYPES, customers, versions, KEYS):
+        matching = [n for n, rule in enumerate(rules) if matches(rule, request)]
         for n in matching:
-            regions[n].add(flow)
+            regions[n].add(request)
         decided.update(matching[:1])
-        found = table.find(*flow)
+        found = table.find(*request)
         assert (found.number if found else None) == (matching[0] if matching else None)
-    known = LintContext(TYPES, CUSTOMERS if customers_known else ())
-    findings = lint(table, known)
+    context = LintContext(TYPES, CUSTOMERS if customers_known else ())
+    findings = lint(table, context)
     line_of = [route.line for route in table.routes]
     shadowed = {line_of[n] for n in range(len(rules)) if n not in decided}
     assert {f.line for f in findings if f.kind == "shadowed"} == shadowed
@@ -126,8 +126,10 @@
         ],
         ["v1"],
     )
-    known = LintContext(TYPES, CUSTOMERS, ["tiny"], ["tiny"], {("a", "x", "")}, "3 of 3 heard, oldest 0.1 s")
-    reported = [str(finding) for finding in lint(table, known)]
+    context = LintContext(
+        TYPES, CUSTOMERS, ["tiny"], ["tiny"], {("a", "x", "")}, "3 of 3 heard, oldest 0.1 s"
+    )
+    reported = [str(finding) for finding in lint(table, context)]
     for line, kind, parts in (
         (10, "shadowed", ("decided by line 2, line 6", "as key 80 c=a,t=x", "put it before line 2")),
         (15, "contradictory", ("line 6 decides otherwise", "as key 1f0 c=a,t=x")),
