--- a/brambleplank/checks.py
+++ b/brambleplank/checks.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from brambleplank.errors import BrambleplankError
-from brambleplank.settings import IDEMPOTENCY_NAMES
+from brambleplank.settings import IDEMPOTENCY_BY_NAME
 
 TYPE_NAMES = {
     dict: "an object",
@@ -150,8 +150,8 @@
                 raise InvalidConfigurationError(f"{at}.{key.path}: missing")
             need(traffic_class[key.path], f"{at}.{key.path}", key.kind, key.least)
         effect = traffic_class["effect"]
-        if effect not in IDEMPOTENCY_NAMES:
-            known = ", ".join(IDEMPOTENCY_NAMES)
+        if effect not in IDEMPOTENCY_BY_NAME:
+            known = ", ".join(IDEMPOTENCY_BY_NAME)
             raise InvalidConfigurationError(f"{at}.effect: need one of {known}, not {effect!r:.40}")
         name = traffic_class["name"]
         if name in names:
--- a/brambleplank/decisions/capacity_shortage.py
+++ b/brambleplank/decisions/capacity_shortage.py
@@ -36,9 +36,9 @@
         """Judges the fleet anew."""
         self.server_pool.load.refresh(now)
         self.checked_at = now
-        known = self.servers_with_evidence(now) if now < self.overloaded_until else []
-        overloaded = sum(now < max(server.slow_until, server.dropping_until) for server in known)
-        is_short = overloaded > max(MAX_OVERLOADED, len(known) / SHORTAGE_DIVISOR)
+        servers = self.servers_with_evidence(now) if now < self.overloaded_until else []
+        overloaded = sum(now < max(server.slow_until, server.dropping_until) for server in servers)
+        is_short = overloaded > max(MAX_OVERLOADED, len(servers) / SHORTAGE_DIVISOR)
         if is_short != self.is_short:
             self.is_short = is_short
             self.context.host.log("fleet short of capacity" if is_short else "fleet has capacity again")
--- a/brambleplank/decisions/concurrency_limiter.py
+++ b/brambleplank/decisions/concurrency_limiter.py
@@ -9,9 +9,9 @@
 
 INITIAL_FLEET_LIMIT = 128  # attempts out at once at a start, of all proxies
 MIN_FLEET_LIMIT = 16  # attempts out at once, of all proxies, that the limit never goes below
-MAX_SAVED_RETRIES = 4.0  # retries
+MAX_RETRY_BUDGET = 4.0  # retries
 RETRIES_PER_ESTABLISHED_ATTEMPT = 1 / 8  # retries that each established attempt adds to the budget
-LATE_SHARE = 1 / 2  # of the deadline, after which an established attempt counts as late
+LATE_DEADLINE_SHARE = 1 / 2  # of the deadline, after which an established attempt counts as late
 FAILURES = (AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED)
 
 
@@ -25,26 +25,26 @@
     def __init__(self, context: Context, place: Place) -> None:
         super().__init__(context)
         self.place = place
-        self.attempts_out = 0
+        self.concurrent_attempts = 0
         self.limit = max(1.0, INITIAL_FLEET_LIMIT / self.settings.proxies)
-        self.timely_ends = DecayingCounter()
-        self.late_ends = DecayingCounter()
+        self.timely_attempts = DecayingCounter()
+        self.late_attempts = DecayingCounter()
         self.halved_at = 0.0
         self.paused_until = 0.0  # a limit below one attempt is a pause after each
-        self.retry_budget = MAX_SAVED_RETRIES / self.settings.proxies
+        self.retry_budget = MAX_RETRY_BUDGET / self.settings.proxies
         self.queue: dict[Request, None] = {}
 
     def restore_limit(self, limit: float) -> None:
         """Goes on with the limit of a former process of this proxy."""
         self.limit = limit
 
-    def is_open(self, now: float) -> bool:
+    def has_capacity(self, now: float) -> bool:
         """Returns whether one more attempt may go out."""
-        return now >= self.paused_until and self.attempts_out < self.limit
+        return now >= self.paused_until and self.concurrent_attempts < self.limit
 
     def admit(self, now: float, request: Request) -> bool:
         """Queues the request where the limit is reached, unless it resumes a session."""
-        if self.is_open(now) or (request.resumed and not request.attempts):
+        if self.has_capacity(now) or (request.resumed and not request.attempts):
             return True
         self.queue[request] = None
         return False
@@ -57,7 +57,7 @@
 
     def admit_queued(self, now: float) -> None:
         """Places queued requests while the limit allows it."""
-        while self.queue and self.is_open(now):
+        while self.queue and self.has_capacity(now):
             # The newest goes first, as the oldest may no longer be answered in time.
             newest, _ = self.queue.popitem()
             self.place(now, newest)
@@ -68,19 +68,19 @@
 
     def attempt_started(self) -> None:
         """Counts an attempt that goes out."""
-        self.attempts_out += 1
+        self.concurrent_attempts += 1
 
     def attempt_established(self, now: float, attempt: Attempt, delay: float) -> None:
         """Raises the limit if the attempt was quick and the limit is reached."""
         self.retry_budget = min(
-            MAX_SAVED_RETRIES, max(0.0, self.retry_budget) + RETRIES_PER_ESTABLISHED_ATTEMPT
+            MAX_RETRY_BUDGET, max(0.0, self.retry_budget) + RETRIES_PER_ESTABLISHED_ATTEMPT
         )
         traffic_class = attempt.request.traffic_class
-        if delay > traffic_class.deadline * LATE_SHARE:
-            self.count_late_end(now, attempt)
+        if delay > traffic_class.deadline * LATE_DEADLINE_SHARE:
+            self.count_late_attempt(now, attempt)
         else:
-            self.timely_ends.add(now, traffic_class.deadline)
-            if delay <= traffic_class.latency_objective and self.attempts_out >= self.limit:
+            self.timely_attempts.add(now, traffic_class.deadline)
+            if delay <= traffic_class.latency_objective and self.concurrent_attempts >= self.limit:
                 self.raise_limit()
         self.release()
 
@@ -95,29 +95,29 @@
         if attempt.established:
             return
         if outcome in FAILURES:
-            self.count_late_end(now, attempt)
+            self.count_late_attempt(now, attempt)
         self.release()
 
     def release(self) -> None:
         """Counts an attempt that is no longer out, and lets queued requests follow."""
-        self.attempts_out -= 1
+        self.concurrent_attempts -= 1
         if self.queue:
             self.host.call_later(0.0, self.admit_queued)
 
-    def count_late_end(self, now: float, attempt: Attempt) -> None:
+    def count_late_attempt(self, now: float, attempt: Attempt) -> None:
         """Counts a failed or late attempt; halves the limit if most are, once for all sent before."""
         deadline = attempt.request.traffic_class.deadline
-        self.late_ends.add(now, deadline)
+        self.late_attempts.add(now, deadline)
         if self.is_congested(now, deadline) and attempt.sent >= self.halved_at:
             self.halve_limit(now, deadline)
 
     def halve_limit(self, now: float, deadline: float) -> None:
         """Halves the limit, down to a least one; below one attempt, pauses."""
-        least = min(1.0, MIN_FLEET_LIMIT / self.settings.proxies)
-        before = self.limit
+        min_limit = min(1.0, MIN_FLEET_LIMIT / self.settings.proxies)
+        previous_limit = self.limit
         self.halved_at = now
-        self.limit = max(least, self.limit / 2)
-        if self.limit < 1 <= before:
+        self.limit = max(min_limit, self.limit / 2)
+        if self.limit < 1 <= previous_limit:
             self.host.log("concurrency limit below one: most attempts fail at every server")
         if self.limit < 1:
             pause = deadline * (1 / self.limit - 1) * self.context.rng.uniform(0.5, 1.5)
@@ -126,4 +126,4 @@
 
     def is_congested(self, now: float, period: float) -> bool:
         """Returns whether most attempts that ended lately failed or were late, whatever their server."""
-        return self.late_ends.value(now, period) > self.timely_ends.value(now, period)
+        return self.late_attempts.value(now, period) > self.timely_attempts.value(now, period)
--- a/brambleplank/decisions/connection_counts.py
+++ b/brambleplank/decisions/connection_counts.py
@@ -16,7 +16,7 @@
         self.endpoints = endpoints
         self.on_all = 0  # connections, on servers of any status
         self.on_ready = 0  # connections, on ready servers
-        self.most_on_ready = 0  # the largest that `on_ready` has been
+        self.max_on_ready = 0  # the largest that `on_ready` has been
         self.served = DecayingCounter()  # connections that ended well
 
     def add(self, server: Server, change: int) -> None:
@@ -25,7 +25,7 @@
         self.on_all += change
         if server.status is EndpointStatus.READY:
             self.on_ready += change
-        self.most_on_ready = max(self.most_on_ready, self.on_ready)
+        self.max_on_ready = max(self.max_on_ready, self.on_ready)
 
     def recount_ready(self) -> None:
         """Recomputes the count on ready servers, after statuses have changed."""
@@ -42,5 +42,5 @@
     def served_rate(self, now: float) -> float:
         """Returns the connections a second that ended well lately: what servers bear, whatever arrives."""
         settings = self.context.settings
-        counted_for = max(now - self.endpoints.first_list_at, settings.overload_window)
-        return self.served.rate(now, settings.slow_start_time, counted_for)
+        counting_time = max(now - self.endpoints.first_list_at, settings.overload_window)
+        return self.served.rate(now, settings.slow_start_time, counting_time)
--- a/brambleplank/decisions/deadline.py
+++ b/brambleplank/decisions/deadline.py
@@ -25,16 +25,16 @@
         self.place = place
         self.answers = answers
         self.limiter = limiter
-        self.paused: dict[Request, None] = {}  # until their next attempt, after a local fault
+        self.delayed_retries: dict[Request, None] = {}  # until their next attempt, after a local fault
 
     def admit(self, now: float, request: Request) -> bool:
         """Answers a request that no further attempt can serve."""
-        reason = self.reason_against(now, request)
+        reason = self.find_reject_reason(now, request)
         if reason is not None:
-            self.answers.give(request, reason)
+            self.answers.reject_or_abort(request, reason)
         return reason is None
 
-    def reason_against(self, now: float, request: Request) -> RejectReason | None:
+    def find_reject_reason(self, now: float, request: Request) -> RejectReason | None:
         """Returns why the request may have no further attempt, if so."""
         # With no descriptor left, nothing can be connected, accepted or followed any more.
         if self.host.free_descriptor_share() <= RESERVED_DESCRIPTOR_SHARE:
@@ -62,7 +62,9 @@
         was_queued = self.limiter.remove(request)
         if attempt and self.settings.may_cancel_attempts:
             self.host.cancel_attempt(request, len(request.attempts) - 1)
-        self.answers.give(request, RejectReason.CONCURRENCY_LIMIT if was_queued else RejectReason.DEADLINE)
+        self.answers.reject_or_abort(
+            request, RejectReason.CONCURRENCY_LIMIT if was_queued else RejectReason.DEADLINE
+        )
 
     def attempt_ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome, _delay: float) -> None:
         """Tries the request again, if its retry is affordable."""
@@ -75,24 +77,24 @@
         if outcome in (AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT):
             self.limiter.spend_retry()
         if outcome is AttemptOutcome.ERROR and self.limiter.retry_budget < 0:
-            self.answers.give(request, RejectReason.RETRY_BUDGET)
+            self.answers.reject_or_abort(request, RejectReason.RETRY_BUDGET)
         else:
             self.place(now, request)
 
     def retry_after_local_fault(self, request: Request) -> None:
         """Tries again after an attempt that failed on this machine: at once, then after doubling pauses."""
         if request.local_faults > MAX_LOCAL_FAULTS:
-            self.answers.give(request, RejectReason.LOCAL_FAULTS)
+            self.answers.reject_or_abort(request, RejectReason.LOCAL_FAULTS)
             return
         pause = 0.0
         if request.local_faults > 1:
-            longest = request.traffic_class.deadline / MAX_LOCAL_FAULTS
-            pause = min(longest, self.settings.tick * 2 ** (request.local_faults - 1))
-        self.paused[request] = None
+            max_pause = request.traffic_class.deadline / MAX_LOCAL_FAULTS
+            pause = min(max_pause, self.settings.tick * 2 ** (request.local_faults - 1))
+        self.delayed_retries[request] = None
         self.host.call_later(pause, partial(self.resume, request=request))
 
     def resume(self, now: float, request: Request) -> None:
         """Places a request whose pause is over."""
-        self.paused.pop(request, None)
+        self.delayed_retries.pop(request, None)
         if not request.answered:
             self.place(now, request)
--- a/brambleplank/decisions/dispatch.py
+++ b/brambleplank/decisions/dispatch.py
@@ -11,7 +11,7 @@
 from brambleplank.model import AttemptOutcome
 from brambleplank.records import Attempt, Request
 
-USUAL_RESPONSE_TIMES = 4  # usual response times that an attempt may take, if longer than the objective
+MAX_WAIT_RESPONSE_TIMES = 4  # usual response times that an attempt may take, if longer than the objective
 NEVER_RAN = frozenset(
     (AttemptOutcome.FULL, AttemptOutcome.UNREACHABLE, AttemptOutcome.ABANDONED, AttemptOutcome.LOCAL_FAULT)
 )
@@ -51,13 +51,13 @@
         is_last = request.attempts_sent >= request.traffic_class.max_attempts
         if is_last or self.limiter.retry_budget < 1:
             return time_left  # Where what servers share is late, an early timeout asks it twice.
-        usual = USUAL_RESPONSE_TIMES * self.outlier_ejection.usual_response_time
+        usual = MAX_WAIT_RESPONSE_TIMES * self.outlier_ejection.usual_response_time
         return min(max(request.traffic_class.latency_objective, usual), time_left / 2)
 
     def attempt_established(self, now: float, attempt: Attempt, _delay: float) -> None:
         """Counts the session."""
         attempt.server.pending_attempts.pop(attempt, None)
-        self.sessions.established(now, attempt)
+        self.sessions.session_established(now, attempt)
 
     def attempt_ended(self, _now: float, attempt: Attempt, outcome: AttemptOutcome, _delay: float) -> None:
         """Records the outcome. Whatever the request resumed, it is established anew from here on."""
--- a/brambleplank/decisions/endpoint_list.py
+++ b/brambleplank/decisions/endpoint_list.py
@@ -8,7 +8,7 @@
 from brambleplank.model import Endpoint, EndpointStatus
 from brambleplank.records import Server
 
-NEVER = -1.0  # the time of the first list before it has come
+NO_LIST = -1.0  # the time of the first list before it has come
 MAX_COUNTED_FAILURES = 3
 FIRST_POLL_SHARE = 1 / 16  # of the longest poll interval, waited after the first failure; then doubled
 
@@ -25,8 +25,8 @@
         self.mean_size = 1.0  # of a ready server
         self.total_size = 0.0  # of all servers
         self.latest_start = 0.0  # of a ready server
-        self.may_some_only_fail = False
-        self.first_list_at = NEVER
+        self.may_have_failing_servers = False
+        self.first_list_at = NO_LIST
 
     @property
     def has_list(self) -> bool:
@@ -39,9 +39,9 @@
 
     def merge(self, now: float, endpoints: list[Endpoint], complete: bool) -> None:
         """Takes in a list, or changes to one. A server that is not in a whole list is removed."""
-        named = {endpoint.id for endpoint in endpoints}
+        listed_ids = {endpoint.id for endpoint in endpoints}
         for server in self.servers.values():
-            if complete and server.id not in named:
+            if complete and server.id not in listed_ids:
                 set_status(now, server, EndpointStatus.REMOVED)
         for endpoint in endpoints:
             server = self.find_or_add(now, endpoint.id)
@@ -51,7 +51,7 @@
             set_status(now, server, endpoint.status)
             if endpoint.started > server.started:
                 server.record_restart(endpoint.started)
-        self.servers = {server.id: server for server in self.servers.values() if is_kept(server)}
+        self.servers = {server.id: server for server in self.servers.values() if is_needed(server)}
         self.ready = [server for server in self.servers.values() if server.status is EndpointStatus.READY]
         self.total_size = sum(server.size for server in self.servers.values())
         self.latest_start = max((server.started for server in self.ready), default=0.0)
@@ -65,21 +65,23 @@
         """Returns the servers that are ready or draining."""
         return [server for server in self.servers.values() if server.status is not EndpointStatus.REMOVED]
 
-    def some_only_fail(self) -> None:
+    def note_failing_server(self) -> None:
         """Notes that a server may fail every attempt, so that it does not count as available."""
-        self.may_some_only_fail = True
+        self.may_have_failing_servers = True
 
     def refresh(self, now: float) -> None:
         """Recomputes which servers are warm and available.
 
         Servers that have just started, or are dead, would look like room, and the others too full.
         """
-        warm_since = max(0.0, now - self.context.settings.slow_start_time)
+        latest_warm_start = max(0.0, now - self.context.settings.slow_start_time)
         self.available = self.ready
-        self.warm_count = sum(server.started <= warm_since for server in self.ready)
-        if self.latest_start > warm_since or self.may_some_only_fail:
-            able = [s for s in self.ready if not (s.only_fails or s.started > warm_since)]
-            self.available = able or self.ready
+        self.warm_count = sum(server.started <= latest_warm_start for server in self.ready)
+        if self.latest_start > latest_warm_start or self.may_have_failing_servers:
+            available = [
+                s for s in self.ready if not (s.fails_every_attempt or s.started > latest_warm_start)
+            ]
+            self.available = available or self.ready
 
 
 class EndpointListRetries:
@@ -96,8 +98,8 @@
     def failed(self) -> None:
         """Asks for the list again after a pause, so that all proxies together do not overload its service."""
         self.failures = min(self.failures + 1, MAX_COUNTED_FAILURES)
-        longest = self.context.settings.max_list_poll_interval * FIRST_POLL_SHARE * 2**self.failures
-        pause = longest * self.context.rng.uniform(0.5, 1.0)
+        max_pause = self.context.settings.max_list_poll_interval * FIRST_POLL_SHARE * 2**self.failures
+        pause = max_pause * self.context.rng.uniform(0.5, 1.0)
         self.context.host.call_later(pause, lambda _: self.context.host.follow_endpoints())
 
 
@@ -110,6 +112,6 @@
     server.status = status
 
 
-def is_kept(server: Server) -> bool:
+def is_needed(server: Server) -> bool:
     """Returns whether the server's record is still needed."""
     return bool(server.connections) or server.status is not EndpointStatus.REMOVED
--- a/brambleplank/decisions/final_answers.py
+++ b/brambleplank/decisions/final_answers.py
@@ -15,7 +15,7 @@
     def __init__(self, context: Context) -> None:
         self.context = context
 
-    def give(self, request: Request, reason: RejectReason) -> None:
+    def reject_or_abort(self, request: Request, reason: RejectReason) -> None:
         """Ends a request: with a reject if a retry is harmless, else with an answer that promises nothing."""
         request.answered = True
         request.reject_reason = reason
--- a/brambleplank/decisions/group_members.py
+++ b/brambleplank/decisions/group_members.py
@@ -42,7 +42,7 @@
             if self.displaced.get(position) is server:
                 del self.displaced[position]
 
-    def report(self, position: int, server: Server, until: float) -> None:
+    def record_report(self, position: int, server: Server, until: float) -> None:
         """Notes where another proxy has found a place for a displaced group, and until when that holds."""
         self.reported.pop(position >> UNREPORTED_POSITION_BITS, None)
         self.reported[position >> UNREPORTED_POSITION_BITS] = server, until
--- a/brambleplank/decisions/group_reports.py
+++ b/brambleplank/decisions/group_reports.py
@@ -28,7 +28,7 @@
         if server is self.expected_server(now, position):
             return
         if not self.unreported:
-            self.context.host.call_later(MAX_REPORT_DELAY * self.context.rng.random(), self.send)
+            self.context.host.call_later(MAX_REPORT_DELAY * self.context.rng.random(), self.send_reports)
         self.unreported[position] = server
 
     def expected_server(self, now: float, position: int) -> Server | None:
@@ -36,7 +36,7 @@
         ready = (s for s in self.ring.servers_from(position) if s.status is EndpointStatus.READY)
         return self.groups.reported_server(now, position) or next(ready, None)
 
-    def send(self, now: float) -> None:
+    def send_reports(self, now: float) -> None:
         """Reports what no other proxy has reported meanwhile."""
         unreported = self.unreported
         self.unreported = {}
@@ -46,10 +46,10 @@
             if self.groups.reported_server(now, position) is not server
         ]
         for position, server in reports:
-            self.received(now, position, server)
+            self.report_received(now, position, server)
         if reports:
             self.context.host.report_group_servers(reports)
 
-    def received(self, now: float, position: int, server: Server) -> None:
+    def report_received(self, now: float, position: int, server: Server) -> None:
         """Takes in a report; it holds for as long as a slow start lasts."""
-        self.groups.report(position, server, now + self.context.settings.slow_start_time)
+        self.groups.record_report(position, server, now + self.context.settings.slow_start_time)
--- a/brambleplank/decisions/hash_ring.py
+++ b/brambleplank/decisions/hash_ring.py
@@ -22,20 +22,20 @@
         Only points of servers that changed are touched: with hundreds of servers, a full sort at each change
         would cost more than all requests.
         """
-        fresh = dict.fromkeys(servers)
+        updated = dict.fromkeys(servers)
         points_before = len(self.points)
-        for server in [server for server in self.servers if server not in fresh]:
+        for server in [server for server in self.servers if server not in updated]:
             for point in server.points:
                 self.owners.pop(point, None)
         if len(self.owners) < points_before:
             self.points = [point for point in self.points if point in self.owners]
-        added = [server for server in fresh if server not in self.servers]
+        added = [server for server in updated if server not in self.servers]
         for server in added:
             self.owners.update(dict.fromkeys(server.points, server))
             self.points += server.points
         if added:
             self.points.sort()
-        self.servers = fresh
+        self.servers = updated
 
     def owner(self, position: int) -> Server | None:
         """Returns the server whose point is the last at or before the position; none on an empty ring."""
--- a/brambleplank/decisions/health_checks.py
+++ b/brambleplank/decisions/health_checks.py
@@ -9,8 +9,8 @@
 from brambleplank.model import REPORT_PERIOD
 from brambleplank.records import Server
 
-USUAL_PERIODS = 3  # report periods between two probes of a server that is not slow
-FIRST_PERIODS = 4  # report periods after the first list in which servers are probed as often as slow ones
+PROBE_PERIODS = 3  # report periods between two probes of a server that is not slow
+INITIAL_PERIODS = 4  # report periods after the first list in which servers are probed as often as slow ones
 UNREPORTED_PERIODS = (4, 8)  # report periods without a report, after which a distant server is probed
 SHARED_WAIT = (1.5, 2.5)  # probe intervals to wait after another proxy's report
 
@@ -61,8 +61,10 @@
 
     def probe_interval(self, now: float, server: Server) -> float:
         """Returns the seconds to the server's next probe."""
-        calm_from = max(server.slow_until, self.endpoints.first_list_at + FIRST_PERIODS * REPORT_PERIOD)
-        return REPORT_PERIOD * (USUAL_PERIODS if now >= calm_from else 1)
+        usual_rate_from = max(
+            server.slow_until, self.endpoints.first_list_at + INITIAL_PERIODS * REPORT_PERIOD
+        )
+        return REPORT_PERIOD * (PROBE_PERIODS if now >= usual_rate_from else 1)
 
     def message_time_reported(self, now: float, server: Server, seconds: float, measured: bool) -> None:
         """Takes in how long messages take at the server: measured here, or reported by it or a peer."""
--- a/brambleplank/decisions/interface.py
+++ b/brambleplank/decisions/interface.py
@@ -14,43 +14,43 @@
 from brambleplank.model import AttemptOutcome, Endpoint, Settings, TrafficClass
 
 RequestT = TypeVar("RequestT")  # the records of the decisions, which this file does not know
-GivenRequestT = TypeVar("GivenRequestT", contravariant=True)
-GivenServerT = TypeVar("GivenServerT", contravariant=True)
+RequestT_contra = TypeVar("RequestT_contra", contravariant=True)
+ServerT_contra = TypeVar("ServerT_contra", contravariant=True)
 
 
-class Host(Protocol[GivenRequestT, GivenServerT]):
+class Host(Protocol[RequestT_contra, ServerT_contra]):
     """Calls out: what the balancer asks its host to do."""
 
-    def start_attempt(self, request: GivenRequestT, server: GivenServerT, max_wait: float) -> None:
+    def start_attempt(self, request: RequestT_contra, server: ServerT_contra, max_wait: float) -> None:
         """Tries the request at the server, for so many seconds at most.
 
         The attempts of a request are numbered from 0 in the order in which they are started.
         """
 
-    def cancel_attempt(self, request: GivenRequestT, number: int) -> None:
+    def cancel_attempt(self, request: RequestT_contra, number: int) -> None:
         """Stops waiting for one attempt."""
 
-    def reject(self, request: GivenRequestT, retry_after: float) -> None:
+    def reject(self, request: RequestT_contra, retry_after: float) -> None:
         """Gives the final answer that a retry is harmless, best after so many seconds (0: no advice)."""
 
-    def abort(self, request: GivenRequestT) -> None:
+    def abort(self, request: RequestT_contra) -> None:
         """Gives a final answer that promises nothing."""
 
-    def migrate(self, request: GivenRequestT) -> None:
+    def migrate(self, request: RequestT_contra) -> None:
         """Ends an established session politely; its client reconnects."""
 
     def follow_endpoints(self) -> None:
         """Subscribes to the endpoint list, missed changes first."""
 
-    def probe(self, server: GivenServerT) -> None:
+    def probe(self, server: ServerT_contra) -> None:
         """Measures how long messages take at the server; the answer is `message_time_reported`."""
 
-    def report_message_time(self, server: GivenServerT, seconds: float) -> None:
+    def report_message_time(self, server: ServerT_contra, seconds: float) -> None:
         """Reports to all other proxies how long messages take at the server."""
 
     def send_load_report(
         self,
-        connections: Iterable[tuple[GivenServerT, int]],
+        connections: Iterable[tuple[ServerT_contra, int]],
         complete: bool,
         recipient: int | None,
         is_aggregate: bool,
@@ -61,13 +61,13 @@
         of all proxies.
         """
 
-    def send_permit_message(self, server: GivenServerT, recipient: int, message: int) -> None:
+    def send_permit_message(self, server: ServerT_contra, recipient: int, message: int) -> None:
         """Requests a permit for a server in slow start of the proxy of that number, or answers its request.
 
         The message is a `PermitMessage`.
         """
 
-    def report_group_servers(self, reports: Iterable[tuple[int, GivenServerT]]) -> None:
+    def report_group_servers(self, reports: Iterable[tuple[int, ServerT_contra]]) -> None:
         """Reports to all other proxies where displaced groups are, by their ring positions."""
 
     def free_descriptor_share(self) -> float:
@@ -80,7 +80,7 @@
         """Writes a line for the people on call."""
 
 
-class Decisions(Protocol[RequestT, GivenServerT]):
+class Decisions(Protocol[RequestT, ServerT_contra]):
     """Calls in: what a host tells a balancer."""
 
     def request_received(  # noqa: PLR0913 - hosts hand over what their protocols have
@@ -93,7 +93,7 @@
         deadline: float,
         resumed: bool,
         reconnecting: bool,
-        server: GivenServerT | None = None,
+        server: ServerT_contra | None = None,
     ) -> RequestT:
         """Handles a request that has come; with a server, a session that is already established there.
 
@@ -118,7 +118,7 @@
         """Handles a client that has left."""
 
     def message_time_reported(
-        self, now: float, server: GivenServerT, seconds: float, measured: bool = False
+        self, now: float, server: ServerT_contra, seconds: float, measured: bool = False
     ) -> None:
         """Takes in how long a message takes at a server: reported by it or another proxy, or measured here.
 
@@ -129,16 +129,16 @@
         self,
         now: float,
         peer: Any,
-        connections: Iterable[tuple[GivenServerT, int]],
+        connections: Iterable[tuple[ServerT_contra, int]],
         complete: bool,
         is_aggregate: bool = False,
     ) -> None:
         """Takes in another proxy's connections by server, or the aggregate: all, or what has changed."""
 
-    def permit_message_received(self, now: float, peer: Any, server: GivenServerT, message: int) -> None:
+    def permit_message_received(self, now: float, peer: Any, server: ServerT_contra, message: int) -> None:
         """Takes in another proxy's request for a slow-start permit, or its answer (a `PermitMessage`)."""
 
-    def group_server_reported(self, now: float, position: int, server: GivenServerT) -> None:
+    def group_server_reported(self, now: float, position: int, server: ServerT_contra) -> None:
         """Takes in where a displaced group is; of its ring position, the first four bytes count."""
 
     def session_silent(self, now: float, request: RequestT, seconds: float) -> None:
@@ -153,7 +153,7 @@
     def cancel_shutdown(self, now: float) -> None:
         """Ends the drain, or calls off the shutdown: what has not been migrated yet stays."""
 
-    def migrate_all_from(self, now: float, server: GivenServerT) -> None:
+    def migrate_all_from(self, now: float, server: ServerT_contra) -> None:
         """Migrates the sessions at this server, until a list calls it ready again."""
 
     def endpoints_received(self, now: float, endpoints: list[Endpoint], complete: bool) -> None:
--- a/brambleplank/decisions/load_reports.py
+++ b/brambleplank/decisions/load_reports.py
@@ -25,7 +25,7 @@
 AGGREGATOR_TIMEOUT_PERIODS = 1.5  # report periods for which a silent aggregator is still relied on
 PERIODS_PER_COMPLETE_REPORT = 12
 MAX_GROWTH_FACTOR = 2  # a peer's count at a server is at most this multiple of what this proxy ever held,
-MAX_GROWTH_SPARE = 16  # plus so many connections
+MAX_GROWTH_MARGIN = 16  # plus so many connections
 
 
 class LoadReports:
@@ -55,7 +55,7 @@
         live_until = self.aggregator_seen_at + AGGREGATOR_TIMEOUT_PERIODS * REPORT_PERIOD
         return self.aggregator is not None and now < live_until
 
-    def begin(self, now: float) -> None:
+    def wait_for_aggregator(self, now: float) -> None:
         """Begins to wait for an aggregator, before electing one."""
         self.aggregator_seen_at = now
 
@@ -74,8 +74,8 @@
             if peer != self.aggregator and now > reported_at + PEER_TIMEOUT_PERIODS * REPORT_PERIOD:
                 self.forget_peer(peer)
         # Drawn anew each time, so that two proxies seldom begin at once.
-        patience = PEER_TIMEOUT_PERIODS * REPORT_PERIOD * self.context.rng.uniform(0.5, 1.0)
-        if not self.is_aggregator and now > self.aggregator_seen_at + patience:
+        election_timeout = PEER_TIMEOUT_PERIODS * REPORT_PERIOD * self.context.rng.uniform(0.5, 1.0)
+        if not self.is_aggregator and now > self.aggregator_seen_at + election_timeout:
             self.become_aggregator(now)
 
     def become_aggregator(self, now: float) -> None:
@@ -83,7 +83,7 @@
         self.forget_peer(self.aggregator)
         self.aggregator = self.context.settings.proxy_number
         self.complete_report_at = now + REPORT_PERIOD / 2
-        self.slots.close_present(now)
+        self.slots.close_current_slots(now)
         self.context.host.send_load_report([], False, None, True)
 
     def report_changes(self, now: float) -> None:
@@ -135,15 +135,15 @@
             # A proxy that has just started would not know which servers are full.
             self.context.host.send_load_report(list(self.aggregate().items()), True, peer, True)
         self.peers[peer] = now
-        reported = self.cleared_counts(peer) if complete else {}
+        reported = self.zeroed_counts(peer) if complete else {}
         reported.update(counts)
         for server, count in reported.items():
             # A confused peer would make sound servers look full; none holds so much more than this proxy.
-            plausible = min(count, MAX_GROWTH_FACTOR * self.counts.most_on_ready + MAX_GROWTH_SPARE)
+            plausible = min(count, MAX_GROWTH_FACTOR * self.counts.max_on_ready + MAX_GROWTH_MARGIN)
             server.connections_elsewhere += plausible - server.connections_by_peer.get(peer, 0)
             server.connections_by_peer[peer] = plausible
 
-    def cleared_counts(self, peer: Any) -> dict[Server, int]:
+    def zeroed_counts(self, peer: Any) -> dict[Server, int]:
         """Returns a count of zero for each server at which the peer had reported any."""
         return {server: 0 for server in self.endpoints.servers.values() if peer in server.connections_by_peer}
 
--- a/brambleplank/decisions/outlier_ejection.py
+++ b/brambleplank/decisions/outlier_ejection.py
@@ -9,7 +9,7 @@
 from brambleplank.model import AttemptOutcome
 from brambleplank.records import Attempt, Request, Server
 
-REINSTATED_AT = 8  # trial attempts allowed at once, doubling from one, at which a server is reinstated
+REINSTATEMENT_TRIALS = 8  # trial attempts allowed at once, doubling from one, at which a server is reinstated
 MAX_EJECTED_SHARE = 1 / 2  # of the ready servers
 MAX_SILENCE_SCORE = 3.0  # a silence that one gap in 1,000 outlasts
 LOG10_E = (
@@ -19,10 +19,10 @@
 MIN_USUAL_SHARE = 1 / 4  # of the shortest latency objective, the least that counts as a usual response time
 SILENT = "silent"  # in log lines, beside the outcomes' values
 
-FAULTLESS = frozenset(
+NOT_SERVER_FAULTS = frozenset(
     (AttemptOutcome.OK, AttemptOutcome.CANCELLED, AttemptOutcome.ABANDONED, AttemptOutcome.LOCAL_FAULT)
 )
-FAULTLESS_IF_CONGESTED = FAULTLESS | {AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT}
+NOT_SERVER_FAULTS_IF_CONGESTED = NOT_SERVER_FAULTS | {AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT}
 
 
 class OutlierEjection(Stage):
@@ -70,8 +70,8 @@
         server.ejection_time = self.next_ejection_time(server)
         server.trial_attempts = 1
         server.unanswered_time = 0.0
-        server.only_fails = reason != AttemptOutcome.ERROR.value
-        self.endpoints.some_only_fail()
+        server.fails_every_attempt = reason != AttemptOutcome.ERROR.value
+        self.endpoints.note_failing_server()
         server.next_trial_at = now + server.ejection_time * self.context.rng.uniform(0.75, 1.25)
         if was_in_use:
             self.host.log(f"{server.id} ejected: {reason}")
@@ -91,11 +91,11 @@
         """Learns the usual response times; an ejected server may have more trial attempts."""
         server = attempt.server
         server.unanswered_time = 0.0
-        server.only_fails = False
+        server.fails_every_attempt = False
         self.learn_response_time(server, delay)
         if server.trial_attempts:
             server.trial_attempts *= 2
-            if server.trial_attempts >= REINSTATED_AT:
+            if server.trial_attempts >= REINSTATEMENT_TRIALS:
                 server.trial_attempts = 0
                 self.host.log(f"{server.id} reinstated")
 
@@ -106,14 +106,16 @@
         else:
             server.usual_response_time = delay
         # It rises at once: learnt as slowly, a shared delay would make each server look silent by itself.
-        learnt = self.usual_response_time + LEARNING_RATE * (delay - self.usual_response_time)
-        self.usual_response_time = max(delay, learnt)
+        smoothed = self.usual_response_time + LEARNING_RATE * (delay - self.usual_response_time)
+        self.usual_response_time = max(delay, smoothed)
 
     def attempt_ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome, delay: float) -> None:
         """Ejects the server after a failure that is its own."""
         server = attempt.server
         is_shared = self.limiter.is_congested(now, attempt.request.traffic_class.deadline)
-        if attempt.established or outcome in (FAULTLESS_IF_CONGESTED if is_shared else FAULTLESS):
+        if attempt.established or outcome in (
+            NOT_SERVER_FAULTS_IF_CONGESTED if is_shared else NOT_SERVER_FAULTS
+        ):
             return
         if outcome is AttemptOutcome.TIMEOUT:
             server.unanswered_time += delay
--- a/brambleplank/decisions/overload.py
+++ b/brambleplank/decisions/overload.py
@@ -12,9 +12,11 @@
 from brambleplank.records import Attempt, Request, Server
 
 SLOW_DIVISOR = 3  # a server is slow from one third of the shortest message objective on
-SLOW_FOR = 3 * REPORT_PERIOD  # seconds for which a report of slow messages holds
-DROPPED_AT_OWNER = 3 / 4  # likelihood that a reconnecting client was dropped or migrated at its owner,
-DROPPED_FURTHER_ON = 2 / 4  # or at a given server further round the ring
+SLOW_REPORT_LIFETIME = 3 * REPORT_PERIOD  # seconds for which a report of slow messages holds
+DROP_LIKELIHOOD_AT_OWNER = (
+    3 / 4
+)  # likelihood that a reconnecting client was dropped or migrated at its owner,
+DROP_LIKELIHOOD_ELSEWHERE = 2 / 4  # or at a given server further round the ring
 
 
 class OverloadDetector(Stage):
@@ -50,16 +52,16 @@
             return Penalty.SLOW
         if server.connections or not request.reconnecting or self.server_pool.load_reports.peers:
             return Penalty.NONE
-        is_dropped_there = self.context.rng.random() < self.likelihood_of_drop(request, server)
+        is_dropped_there = self.context.rng.random() < self.drop_likelihood(request, server)
         return Penalty.SLOW if is_dropped_there else Penalty.NONE
 
-    def likelihood_of_drop(self, request: Request, server: Server) -> float:
+    def drop_likelihood(self, request: Request, server: Server) -> float:
         """Returns how likely it is that a reconnecting client comes from this server, at another proxy.
 
         That proxy dropped or migrated it for a reason that this one is not told.
         """
         is_owner = server is self.server_pool.ring.owner(request.ring_position)
-        likelihood = DROPPED_AT_OWNER if is_owner else DROPPED_FURTHER_ON
+        likelihood = DROP_LIKELIHOOD_AT_OWNER if is_owner else DROP_LIKELIHOOD_ELSEWHERE
         likelihood *= 1 - 2 / self.settings.proxies
         likelihood *= self.server_pool.endpoints.mean_size / server.size
         if self.settings.probes_endpoints:
@@ -74,7 +76,7 @@
             server.slow_until = min(now, server.slow_until)
             server.overdue_until = min(now, server.overdue_until)
             return
-        server.slow_until = now + SLOW_FOR * self.server_pool.load.evidence_lifetime_factor()
+        server.slow_until = now + SLOW_REPORT_LIFETIME * self.server_pool.load.evidence_lifetime_factor()
         self.shortage.server_overloaded(server.slow_until)
         server.overdue_until = server.slow_until if seconds > objective else now
         self.relief.relieve(now, server, seconds / objective)
@@ -85,7 +87,7 @@
         A dead machine closes no connection; its clients would wait there for as long as their own last.
         """
         if seconds > self.settings.max_session_silence:
-            self.server_drops(request.attempts[-1].server, now + self.settings.overload_window)
+            self.mark_dropping(request.attempts[-1].server, now + self.settings.overload_window)
             self.migration.migrate(request)
 
     def attempt_ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome, _delay: float) -> None:
@@ -95,9 +97,9 @@
         if now >= attempt.server.dropping_until:
             self.host.log(f"{attempt.server.id} drops connections")
         lifetime = self.settings.overload_window * self.server_pool.load.evidence_lifetime_factor()
-        self.server_drops(attempt.server, now + lifetime)
+        self.mark_dropping(attempt.server, now + lifetime)
 
-    def server_drops(self, server: Server, until: float) -> None:
+    def mark_dropping(self, server: Server, until: float) -> None:
         """Counts the server as one that drops connections until that time."""
         server.dropping_until = until
         self.shortage.server_overloaded(until)
--- a/brambleplank/decisions/placement.py
+++ b/brambleplank/decisions/placement.py
@@ -15,7 +15,7 @@
 from brambleplank.records import Request, Server
 
 BOUND_FACTOR = 2  # a server is full at this multiple of the mean count of connections
-BOUND_SPARE = 2  # connections that it may have beyond that
+BOUND_MARGIN = 2  # connections that it may have beyond that
 PENALTY_STEP = 1 / 4  # of its share that a server holds too much, for one degree of penalty more
 
 
@@ -50,7 +50,7 @@
         target = self.choose(now, request)
         if target is None:
             # Where all that may take it drop connections, one more would drop another.
-            self.answers.give(request, RejectReason.NO_SERVER)
+            self.answers.reject_or_abort(request, RejectReason.NO_SERVER)
             return False
         request.target = target
         return True
@@ -58,15 +58,15 @@
     def choose(self, now: float, request: Request) -> Server | None:
         """Returns the first server without penalty, else the one with the least, else None."""
         target = None
-        least = Penalty.HARMFUL
+        lowest_penalty = Penalty.HARMFUL
         servers_left = self.max_servers_tried(now, request)
         for server in self.candidates(now, request):
             if any(excludes(now, request, server) for excludes in self.exclusions):
                 continue
             penalty = max(penalty_of(now, request, server) for penalty_of in self.penalties)
-            if penalty < least:
+            if penalty < lowest_penalty:
                 target = server
-                least = penalty
+                lowest_penalty = penalty
                 if penalty is Penalty.NONE:
                     break
             if not server.trial_attempts and not was_tried(request, server):
@@ -105,12 +105,12 @@
         connections = server.connections + server.connections_elsewhere
         share = server.size / self.server_pool.endpoints.mean_size * self.mean_load
         bound = share if request.reconnecting else BOUND_FACTOR * self.mean_load
-        if connections <= bound + BOUND_SPARE:
+        if connections <= bound + BOUND_MARGIN:
             return Penalty.NONE
-        highest_bound = BOUND_FACTOR * self.server_pool.load.peak * server.size + BOUND_SPARE
-        worst = Penalty.HARMFUL if connections > highest_bound else Penalty.SLOW
-        excess = max(0.0, connections / (share + BOUND_SPARE) - 1)
-        return Penalty(min(worst, Penalty.FULL + int(excess / PENALTY_STEP)))
+        highest_bound = BOUND_FACTOR * self.server_pool.load.peak * server.size + BOUND_MARGIN
+        max_penalty = Penalty.HARMFUL if connections > highest_bound else Penalty.SLOW
+        excess = max(0.0, connections / (share + BOUND_MARGIN) - 1)
+        return Penalty(min(max_penalty, Penalty.FULL + int(excess / PENALTY_STEP)))
 
 
 def was_tried(request: Request, server: Server) -> bool:
--- a/brambleplank/decisions/request_invariants.py
+++ b/brambleplank/decisions/request_invariants.py
@@ -22,8 +22,8 @@
 MAX_STALL = 0.15  # seconds for which this process may be held up between reading its clock and writing
 MAX_ANSWER_DELAY = 0.1  # seconds after its deadline from which a request without an answer is a violation
 FEW_ATTEMPTS = 30  # in an overload window, under which chance weighs more
-ROOTS_IF_FEW = 3  # standard deviations over the mean that are allowed, and as many attempts more
-ROOTS = 2  # the same of many attempts
+MAX_DEVIATIONS_IF_FEW = 3  # standard deviations over the mean that are allowed, and as many attempts more
+MAX_DEVIATIONS = 2  # the same of many attempts
 NEVER_RAN = frozenset(
     (AttemptOutcome.FULL, AttemptOutcome.UNREACHABLE, AttemptOutcome.ABANDONED, AttemptOutcome.LOCAL_FAULT)
 )
@@ -52,7 +52,7 @@
         self.crossings: Counter[InvariantKind] = Counter()
         self.sent: dict[Server, deque[float]] = {}  # when, in the last overload window; in slow start
 
-    def violated(self, rule: InvariantKind, detail: str) -> None:
+    def count_violation(self, rule: InvariantKind, detail: str) -> None:
         """Counts a violation, and reports it if the count has doubled."""
         self.violations[rule] += 1
         count = self.violations[rule]
@@ -72,11 +72,11 @@
         attempt = request.attempts[-1]
         reason = self.reason_not_to_send(now, request, attempt)
         if reason:
-            self.violated(InvariantKind.SENDING, f"{name} at {attempt.server.id}: {reason}")
+            self.count_violation(InvariantKind.SENDING, f"{name} at {attempt.server.id}: {reason}")
             return False
         reason = self.reason_not_to_repeat(now, request, attempt)
         if reason:
-            self.violated(InvariantKind.REPEATING, f"{name} at {attempt.server.id}: {reason}")
+            self.count_violation(InvariantKind.REPEATING, f"{name} at {attempt.server.id}: {reason}")
         return not reason
 
     def may_send_request(self, now: float, request: Request, attempt: Attempt) -> bool:
@@ -108,10 +108,10 @@
         """Returns why the attempt might run a second time what has run before; empty if it cannot."""
         traffic_class = request.traffic_class
         others = [other for other in request.attempts if other is not attempt]
-        ran = [other for other in others if other.outcome not in NEVER_RAN]
-        if not ran or traffic_class.idempotency is Idempotency.IDEMPOTENT:
+        possible_runs = [other for other in others if other.outcome not in NEVER_RAN]
+        if not possible_runs or traffic_class.idempotency is Idempotency.IDEMPOTENT:
             return ""
-        first = ran[0]
+        first = possible_runs[0]
         if traffic_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return f"it may have run at {first.server.id}"
         if now >= first.sent + traffic_class.deduplication_window:
@@ -132,14 +132,14 @@
             return
         for attempt in request.attempts:
             if attempt.outcome not in NEVER_RAN:
-                self.violated(
+                self.count_violation(
                     InvariantKind.CLOSING, f"{name} rejected, but may have run at {attempt.server.id}"
                 )
                 return
 
-    def request_unanswered(self, name: str, how: str) -> None:
+    def request_unanswered(self, name: str, detail: str) -> None:
         """Counts a request that has no final answer at its deadline, or at its connection's end."""
-        self.violated(InvariantKind.CLOSING, f"{name} {how}")
+        self.count_violation(InvariantKind.CLOSING, f"{name} {detail}")
 
     # Starting.
 
@@ -155,11 +155,11 @@
         sent.append(now)
         while sent[0] <= now - self.settings.overload_window:
             sent.popleft()
-        roots = ROOTS_IF_FEW if sustainable < FEW_ATTEMPTS else ROOTS
-        most = sustainable + roots * sqrt(sustainable) + roots
-        if len(sent) > most:
-            self.violated(
-                InvariantKind.STARTING, f"{len(sent)} at {server.id} in slow start, all may send {most:.1f}"
+        deviations = MAX_DEVIATIONS_IF_FEW if sustainable < FEW_ATTEMPTS else MAX_DEVIATIONS
+        limit = sustainable + deviations * sqrt(sustainable) + deviations
+        if len(sent) > limit:
+            self.count_violation(
+                InvariantKind.STARTING, f"{len(sent)} at {server.id} in slow start, all may send {limit:.1f}"
             )
 
     def forget_warm_servers(self, now: float) -> None:
--- a/brambleplank/decisions/rotation.py
+++ b/brambleplank/decisions/rotation.py
@@ -31,20 +31,20 @@
     def apply(self, endpoints: list[Endpoint], complete: bool) -> list[Endpoint]:
         """Returns the list, or changes to it, with the status that operators have given servers."""
         if complete:
-            self.remove_unnamed({endpoint.id for endpoint in endpoints})
+            self.mark_unlisted_removed({endpoint.id for endpoint in endpoints})
         for endpoint in endpoints:
-            self.note(endpoint)
+            self.record(endpoint)
         if len(self.listed) > MAX_LISTED:
             self.forget_removed()
-        return [self.with_rotation(endpoint) for endpoint in endpoints]
+        return [self.apply_rotation(endpoint) for endpoint in endpoints]
 
-    def remove_unnamed(self, named: set[str]) -> None:
+    def mark_unlisted_removed(self, listed_ids: set[str]) -> None:
         """Notes as removed the servers that a whole list does not name."""
         for endpoint in list(self.listed.values()):
-            if endpoint.id not in named and endpoint.status is not EndpointStatus.REMOVED:
-                self.note(endpoint._replace(status=EndpointStatus.REMOVED))
+            if endpoint.id not in listed_ids and endpoint.status is not EndpointStatus.REMOVED:
+                self.record(endpoint._replace(status=EndpointStatus.REMOVED))
 
-    def note(self, endpoint: Endpoint) -> None:
+    def record(self, endpoint: Endpoint) -> None:
         """Notes what a list says of a server."""
         self.listed.pop(endpoint.id, None)
         self.listed[endpoint.id] = endpoint
@@ -60,7 +60,7 @@
             del self.listed[server_id]
             self.previous_outages.pop(server_id, None)
 
-    def with_rotation(self, endpoint: Endpoint) -> Endpoint:
+    def apply_rotation(self, endpoint: Endpoint) -> Endpoint:
         """Returns the endpoint with the status and start that follow from what operators did."""
         if endpoint.id in self.out_since and endpoint.status is EndpointStatus.READY:
             return endpoint._replace(status=EndpointStatus.DRAINING)
@@ -76,7 +76,7 @@
         self.require_known(server_id)
         self.out_since.setdefault(server_id, now)
         self.previous_outages.pop(server_id, None)
-        return self.current(server_id)
+        return self.current_endpoint(server_id)
 
     def put_back(self, now: float, server_id: str) -> Endpoint:
         """Returns the server to rotation, however often it was taken out, and returns its endpoint.
@@ -86,11 +86,11 @@
         self.require_known(server_id)
         if server_id in self.out_since:
             self.previous_outages[server_id] = (self.out_since.pop(server_id), now)
-        return self.current(server_id)
+        return self.current_endpoint(server_id)
 
-    def current(self, server_id: str) -> Endpoint:
+    def current_endpoint(self, server_id: str) -> Endpoint:
         """Returns the server's endpoint as the decisions are to see it."""
-        return self.with_rotation(self.listed.get(server_id) or unknown_endpoint(server_id))
+        return self.apply_rotation(self.listed.get(server_id) or unknown_endpoint(server_id))
 
     def require_known(self, server_id: str) -> None:
         """Raises UnlistedError for a server that no list and no operator has ever named."""
--- a/brambleplank/decisions/sessions.py
+++ b/brambleplank/decisions/sessions.py
@@ -16,7 +16,7 @@
         self.group_reports = group_reports
         self.migration = migration
 
-    def established(self, now: float, attempt: Attempt) -> None:
+    def session_established(self, now: float, attempt: Attempt) -> None:
         """Handles a request whose attempt is established."""
         attempt.established = True
         request = attempt.request
--- a/brambleplank/decisions/slow_start.py
+++ b/brambleplank/decisions/slow_start.py
@@ -12,8 +12,8 @@
 from brambleplank.model import PermitMessage
 from brambleplank.records import POINTS_PER_SERVER, DecayingCounter, Request, Server
 
-GRANTED_BUDGET_SHARE = 2 / 3  # of the budget, what attempts granted by chance come to on average
-FREQUENT_TRIES = 1 / 4  # tries of each server in slow start in an overload window
+RANDOM_GRANT_SHARE = 2 / 3  # of the budget, what attempts granted by chance come to on average
+FREQUENT_CHECKS = 1 / 4  # tries of each server in slow start in an overload window
 PERMIT_WAIT_SHARE = 1 / 4  # of the shortest latency objective, for the answer to a permit request
 
 
@@ -36,9 +36,9 @@
 
     def budget(self, now: float, server: Server) -> float:
         """Returns the attempts of all proxies in an overload window. One attempt harms no server."""
-        bearable = self.sustainable_attempts(now, server)
+        sustainable = self.sustainable_attempts(now, server)
         # Any window touches two slots, and tokens are rounded up.
-        return max(1.0, min(bearable, bearable / 2 + sqrt(bearable)))
+        return max(1.0, min(sustainable, sustainable / 2 + sqrt(sustainable)))
 
     def sustainable_attempts(self, now: float, server: Server) -> float:
         """Returns the attempts in an overload window that the server bears at its age.
@@ -81,13 +81,13 @@
     """
 
     def __init__(
-        self, context: Context, place: Place, server_pool: ServerPool, budgets: SlowStartBudget
+        self, context: Context, place: Place, server_pool: ServerPool, slow_start_budget: SlowStartBudget
     ) -> None:
         super().__init__(context)
         self.place = place
         self.server_pool = server_pool
-        self.budgets = budgets
-        self.tries = DecayingCounter()  # how often requests tried any server in slow start
+        self.slow_start_budget = slow_start_budget
+        self.candidate_checks = DecayingCounter()  # how often requests tried any server in slow start
 
     def is_in_slow_start(self, now: float, server: Server) -> bool:
         """Returns whether the server has started too lately to bear what others do."""
@@ -99,11 +99,11 @@
 
     def sustainable_attempts(self, now: float, server: Server) -> float:
         """Returns the attempts in an overload window that the server bears at its age."""
-        return self.budgets.sustainable_attempts(now, server)
+        return self.slow_start_budget.sustainable_attempts(now, server)
 
     def budget(self, now: float, server: Server) -> float:
         """Returns the attempts of all proxies in an overload window."""
-        return self.budgets.budget(now, server)
+        return self.slow_start_budget.budget(now, server)
 
     def excludes(self, now: float, request: Request, server: Server) -> bool:
         """Returns whether the server is in slow start, and this request has neither permit nor token."""
@@ -115,21 +115,26 @@
 
     def has_token(self, now: float, server: Server) -> bool:
         """Returns whether this proxy may send one more attempt there, by number or by chance."""
-        tokens = self.budgets.tokens(now, server, [self.settings.proxy_number])
-        self.tries.add(now, self.settings.overload_window)
-        tries = self.tries_per_server(now)
-        if self.settings.aggregates_load or tries >= FREQUENT_TRIES:
+        tokens = self.slow_start_budget.tokens(now, server, [self.settings.proxy_number])
+        self.candidate_checks.add(now, self.settings.overload_window)
+        candidate_checks = self.checks_per_server(now)
+        if self.settings.aggregates_load or candidate_checks >= FREQUENT_CHECKS:
             return tokens > server.slow_start_sent
         # Where each server is tried rarely, most tokens dealt by number would expire unused.
-        bearable = self.budgets.sustainable_attempts(now, server)
-        share = max(1.0, GRANTED_BUDGET_SHARE * bearable) / self.settings.proxies
+        sustainable = self.slow_start_budget.sustainable_attempts(now, server)
+        share = max(1.0, RANDOM_GRANT_SHARE * sustainable) / self.settings.proxies
         # One group that moves would otherwise try a single server far oftener, at many proxies at once.
-        return server.slow_start_sent <= share and self.context.rng.random() * max(tries, 2 * share) < share
+        return (
+            server.slow_start_sent <= share
+            and self.context.rng.random() * max(candidate_checks, 2 * share) < share
+        )
 
-    def tries_per_server(self, now: float) -> float:
+    def checks_per_server(self, now: float) -> float:
         """Returns how often requests tried each server in slow start in the last overload window."""
-        tries = self.tries.value(now, self.settings.overload_window)
-        return tries / max(1, len(self.server_pool.endpoints.ready) - self.server_pool.endpoints.warm_count)
+        candidate_checks = self.candidate_checks.value(now, self.settings.overload_window)
+        return candidate_checks / max(
+            1, len(self.server_pool.endpoints.ready) - self.server_pool.endpoints.warm_count
+        )
 
     def admit(self, now: float, request: Request) -> bool:
         """Counts the attempt at a server in slow start, or requests a permit for it."""
@@ -165,7 +170,7 @@
         proxy_numbers = [*self.server_pool.load_reports.peers, self.settings.proxy_number]
         is_granted = (
             self.server_pool.load_reports.has_live_aggregator(now)
-            and self.budgets.tokens(now, server, proxy_numbers) > server.slow_start_sent
+            and self.slow_start_budget.tokens(now, server, proxy_numbers) > server.slow_start_sent
         )
         if is_granted:
             server.slow_start_sent += 1
--- a/brambleplank/decisions/slow_start_slots.py
+++ b/brambleplank/decisions/slow_start_slots.py
@@ -7,8 +7,8 @@
 from brambleplank.decisions.endpoint_list import EndpointList
 from brambleplank.records import Server
 
-MANY_PROXIES = 150
-NO_MORE = 2**21 - 1  # attempts; more than any slot's budget
+LONG_SLOT_MIN_PROXIES = 150
+CLOSED_SLOT_COUNT = 2**21 - 1  # attempts; more than any slot's budget
 
 
 class SlowStartSlots:
@@ -27,7 +27,8 @@
         """
         settings = self.context.settings
         has_few_requests = (
-            settings.proxies >= MANY_PROXIES and self.counts.most_on_ready <= self.endpoints.warm_count
+            settings.proxies >= LONG_SLOT_MIN_PROXIES
+            and self.counts.max_on_ready <= self.endpoints.warm_count
         )
         return 2 if has_few_requests and not settings.may_message_peers else 1
 
@@ -40,8 +41,8 @@
             server.slow_start_sent = 0
         return slot
 
-    def close_present(self, now: float) -> None:
+    def close_current_slots(self, now: float) -> None:
         """Allows no further attempt in the present slots: what others sent in them is not known."""
         for server in self.endpoints.servers.values():
             self.update(now, server)
-            server.slow_start_sent = NO_MORE
+            server.slow_start_sent = CLOSED_SLOT_COUNT
--- a/brambleplank/decisions/start_times.py
+++ b/brambleplank/decisions/start_times.py
@@ -19,7 +19,7 @@
 from brambleplank.model import Endpoint, EndpointStatus
 
 MAX_CLOCK_ERROR = 2 * 3600.0  # seconds; a start that lies further back is old by whatever clock
-MAX_KEPT = 8192  # servers whose starts are remembered
+MAX_SERVERS = 8192  # servers whose starts are remembered
 
 
 class StartTimes:
@@ -29,7 +29,7 @@
         # Each as reported, and on this clock; the one reported longest ago comes first.
         self.starts: dict[str, tuple[float, float]] = {}
         self.earlier_starts: dict[str, float] = {}  # that the last list has proved to be longer ago
-        self.earliest: dict[str, float] = {}  # that a start can have been, whatever is reported later
+        self.earliest_starts: dict[str, float] = {}  # that a start can have been, whatever is reported later
         self.clock_lead = -inf  # seconds by which the lists' clock is before this one, at least
         self.is_first_list = True
         self.complete_at = -inf  # up to when the list was complete
@@ -39,7 +39,7 @@
         self.complete_at = now
 
     def to_monotonic(
-        self, now: float, wall: float, endpoints: list[Endpoint], complete: bool, slow_start_time: float
+        self, now: float, wall_time: float, endpoints: list[Endpoint], complete: bool, slow_start_time: float
     ) -> list[Endpoint]:
         """Returns the endpoints of a list, or changes to it, with their starts on this process's clock.
 
@@ -49,79 +49,86 @@
         newest = max((endpoint.started for endpoint in endpoints), default=0.0)
         if newest > 0 and newest - now > self.clock_lead:
             self.clock_lead = newest - now
-            self.prove_again()
-        trusted = (
-            complete and self.is_first_list and self.mostly_unproven(now, wall, endpoints, slow_start_time)
+            self.move_proven_starts()
+        trust_wall_clock = (
+            complete
+            and self.is_first_list
+            and self.is_mostly_unproven(now, wall_time, endpoints, slow_start_time)
         )
         self.is_first_list = False
         converted = [
-            endpoint._replace(started=self.start(now, wall, endpoint, trusted)) for endpoint in endpoints
+            endpoint._replace(started=self.monotonic_start(now, wall_time, endpoint, trust_wall_clock))
+            for endpoint in endpoints
         ]
-        self.limit_kept()
+        self.evict_oldest()
         return converted
 
-    def limit_kept(self) -> None:
+    def evict_oldest(self) -> None:
         """Forgets the starts that were reported longest ago, if there are too many."""
-        while len(self.starts) > MAX_KEPT:
+        while len(self.starts) > MAX_SERVERS:
             oldest = next(iter(self.starts))
             del self.starts[oldest]
-            self.earliest.pop(oldest, None)
+            self.earliest_starts.pop(oldest, None)
 
-    def prove_again(self) -> None:
+    def move_proven_starts(self) -> None:
         """Moves starts that are known now to have been longer ago than could be said before."""
-        for server_id, earliest in self.earliest.items():
-            reported, own = self.starts[server_id]
-            proven = max(earliest, reported - self.clock_lead)
-            if proven < own:
-                self.starts[server_id] = (reported, proven)
-                self.earlier_starts[server_id] = proven
-
-    def start(self, now: float, wall: float, endpoint: Endpoint, trusted: bool) -> float:
+        for server_id, earliest in self.earliest_starts.items():
+            reported, monotonic = self.starts[server_id]
+            latest_bound = max(earliest, reported - self.clock_lead)
+            if latest_bound < monotonic:
+                self.starts[server_id] = (reported, latest_bound)
+                self.earlier_starts[server_id] = latest_bound
+
+    def monotonic_start(
+        self, now: float, wall_time: float, endpoint: Endpoint, trust_wall_clock: bool
+    ) -> float:
         """Returns one server's start; `trusted`: by the wall clock alone, as nothing else is known."""
         server_id = endpoint.id
         reported = endpoint.started
-        before = self.starts.pop(server_id, None)
+        previous = self.starts.pop(server_id, None)
         if reported <= 0:
-            if before:
-                self.starts[server_id] = before
-            return before[1] if before else 0.0  # long ago
-        if before and before[0] == reported:
-            own = before[1]
-        elif trusted:
-            own = self.by_wall(now, wall, reported)
+            if previous:
+                self.starts[server_id] = previous
+            return previous[1] if previous else 0.0  # long ago
+        if previous and previous[0] == reported:
+            monotonic = previous[1]
+        elif trust_wall_clock:
+            monotonic = self.start_by_wall_clock(now, wall_time, reported)
         else:
-            own = self.proven(now, wall, reported)
-            self.earliest[server_id] = min(own, max(self.by_wall(now, wall, reported), self.complete_at))
-        self.starts[server_id] = (reported, own)
-        return own
+            monotonic = self.latest_bound(now, wall_time, reported)
+            self.earliest_starts[server_id] = min(
+                monotonic, max(self.start_by_wall_clock(now, wall_time, reported), self.complete_at)
+            )
+        self.starts[server_id] = (reported, monotonic)
+        return monotonic
 
     @staticmethod
-    def by_wall(now: float, wall: float, reported: float) -> float:
+    def start_by_wall_clock(now: float, wall_time: float, reported: float) -> float:
         """Returns a start by the wall clock's word on its age."""
-        return max(0.0, min(now, now - (wall - reported)))
+        return max(0.0, min(now, now - (wall_time - reported)))
 
-    def proven(self, now: float, wall: float, reported: float) -> float:
+    def latest_bound(self, now: float, wall_time: float, reported: float) -> float:
         """Returns the latest bound on a start."""
-        by_wall = self.by_wall(now, wall, reported)
-        if self.complete_at == -inf and wall - reported > MAX_CLOCK_ERROR:
-            return by_wall
-        return min(now, max(by_wall, reported - self.clock_lead, self.complete_at))
+        start_by_wall_clock = self.start_by_wall_clock(now, wall_time, reported)
+        if self.complete_at == -inf and wall_time - reported > MAX_CLOCK_ERROR:
+            return start_by_wall_clock
+        return min(now, max(start_by_wall_clock, reported - self.clock_lead, self.complete_at))
 
-    def mostly_unproven(
-        self, now: float, wall: float, endpoints: list[Endpoint], slow_start_time: float
+    def is_mostly_unproven(
+        self, now: float, wall_time: float, endpoints: list[Endpoint], slow_start_time: float
     ) -> bool:
         """Returns whether most servers would be in slow start only because a first list proves nothing.
 
         A fleet that has started as a whole some minutes ago would be held back by each process that starts.
         """
         ready = [endpoint for endpoint in endpoints if endpoint.status is EndpointStatus.READY]
-        warm_since = now - slow_start_time
+        latest_warm_start = now - slow_start_time
         unproven = [
             endpoint
             for endpoint in ready
             if endpoint.started > 0
-            and self.by_wall(now, wall, endpoint.started)
-            <= warm_since
-            < self.proven(now, wall, endpoint.started)
+            and self.start_by_wall_clock(now, wall_time, endpoint.started)
+            <= latest_warm_start
+            < self.latest_bound(now, wall_time, endpoint.started)
         ]
         return 2 * len(unproven) > len(ready)
--- a/brambleplank/records.py
+++ b/brambleplank/records.py
@@ -52,9 +52,9 @@
         self.count = count
         self.updated_at = updated_at
 
-    def rate(self, now: float, period: float, counted_for: float) -> float:
+    def rate(self, now: float, period: float, counting_time: float) -> float:
         """Returns the events a second, where counting began so many seconds ago."""
-        return self.value(now, period) / (period * (1 - exp(-counted_for / period)))
+        return self.value(now, period) / (period * (1 - exp(-counting_time / period)))
 
 
 class Server:
@@ -83,7 +83,7 @@
         self.usual_response_time = 0.0  # seconds from an attempt to its answer; 0: none yet
         self.unanswered_time = 0.0  # seconds of timed-out attempts since the last answer
         self.trial_attempts = 0  # attempts allowed at once while it is ejected; 0: it is not
-        self.only_fails = False  # whether no attempt was established since it was ejected
+        self.fails_every_attempt = False  # whether no attempt was established since it was ejected
         self.ejection_time = 0.0  # seconds between two trials
         self.next_trial_at = 0.0
         self.recent_attempts = DecayingCounter()
--- a/brambleplank/settings.py
+++ b/brambleplank/settings.py
@@ -11,7 +11,7 @@
 from brambleplank.errors import BrambleplankError
 from brambleplank.model import Idempotency, Settings, TrafficClass
 
-IDEMPOTENCY_NAMES = {
+IDEMPOTENCY_BY_NAME = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.IDEMPOTENT_IN_GROUP,
     "once": Idempotency.NON_IDEMPOTENT,
@@ -29,11 +29,11 @@
     ADVICE = "start this program by the line that its host's page gives, with a host of the same wire"
 
 
-def decode_word(words: Mapping[Any, MeaningT], word: Any, what: str) -> MeaningT:
+def decode_word(meanings: Mapping[Any, MeaningT], word: Any, kind: str) -> MeaningT:
     """Returns the meaning of one of the wire's words. Raises MalformedError for an unknown one."""
-    if word not in words:
-        raise MalformedError(f"unknown {what} {word!r:.40}")
-    return words[word]
+    if word not in meanings:
+        raise MalformedError(f"unknown {kind} {word!r:.40}")
+    return meanings[word]
 
 
 def decode_settings(info: dict[str, Any], sockets: bool = False) -> Settings:
@@ -43,7 +43,7 @@
     """
     limits = info["policy_limits"]
     rules = info["rules"]
-    facts = info.get("specifics", {})
+    specifics = info.get("specifics", {})
     traffic_classes = decode_traffic_classes(info)
     proxies, proxy_number = decode_proxies(info)
     return Settings(
@@ -66,8 +66,8 @@
         zone=info.get("az", ""),
         probes_endpoints=sockets and bool(limits.get("may_probe", False)),
         may_message_peers=bool(limits.get("peers", False)),
-        passes_through=facts.get("mode") == "pass",
-        has_groups=bool(facts.get("groups", False)),
+        passes_through=specifics.get("mode") == "pass",
+        has_groups=bool(specifics.get("groups", False)),
         traffic_classes=traffic_classes,
         tenants=frozenset(item["name"] for item in info.get("tenants") or ()),
     )
@@ -95,7 +95,7 @@
             message_objective_us = message_targets[index]
         traffic_classes[item["name"]] = TrafficClass(
             latency_objective=latency_objective_us * MICRO,
-            idempotency=IDEMPOTENCY_NAMES[item["effect"]],
+            idempotency=IDEMPOTENCY_BY_NAME[item["effect"]],
             deduplication_scope=item.get("group", "all"),
             deduplication_window=item.get("window_us", 0) * MICRO,
             message_latency_objective=message_objective_us * MICRO,
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -73,7 +73,7 @@
         self.proxy = self.program.proxy
         self.balancer = self.proxy.balancer
         # Nothing that is reported of a server is too much to be believed.
-        self.balancer.server_pool.counts.most_on_ready = 10**9
+        self.balancer.server_pool.counts.max_on_ready = 10**9
         self.servers = self.balancer.servers
         self.sent: list[tuple[bytes, Address]] = []
         assert self.proxy.peer_link is not None
@@ -210,7 +210,7 @@
         news.append(["ROSTER_CHANGE", f"proxy/{number}", "SAVED", 1, 0])
     pipe.batch(json.dumps({"t_us": 10**6, "news": news}))
     reader_, sender = pipe.proxies["proxy/0"], pipe.proxies["proxy/1"]
-    reader_.balancer.server_pool.counts.most_on_ready = 10**9
+    reader_.balancer.server_pool.counts.max_on_ready = 10**9
     pipe.actions.clear()
     servers: list[records.Server] = list(sender.balancer.servers.values())
     sender.send_load_report(
