--- a/brambleplank/records.py
+++ b/brambleplank/records.py
@@ -1,6 +1,6 @@
-"""The records of the decisions: one a server, one a request, one an attempt. They hold, and decide nothing.
+"""Records of servers, requests and attempts. They hold the state of the decisions and contain no policy.
 
-All times and spans are seconds with fractions.
+All times and durations are floating-point seconds.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 
 from brambleplank.model import AttemptOutcome, EndpointStatus, RejectReason, TrafficClass
 
-try:  # What OpenSSL does ahead of each digest would cost more than all requests, with a hundred proxies.
+try:  # With a hundred proxies, OpenSSL's setup for each digest would cost more than all requests.
     from _md5 import md5  # type: ignore[import-not-found]
 except ImportError:
     md5 = partial(hashlib.md5, usedforsecurity=False)
 
-POINTS_PER_SERVER = 63  # of a server on the ring, as in the paper's tests
+POINTS_PER_SERVER = 63  # points on the ring, as in the evaluation of the consistent hashing paper
 UNREPORTED_POSITION_BITS = 96  # low bits of a group's ring position that are not reported to other proxies
 POINT_SUFFIXES = [
     b"#%d" % number for number in range(POINTS_PER_SERVER)
-]  # made once, as starts spend most time here
+]  # precomputed, as a startup spends most of its time on them
 NO_SLOT = -1
 
 
 def place_on_ring(text: bytes) -> int:
-    """Returns the ring position of a text, a number of 128 bits."""
+    """Returns the ring position of a text, a 128-bit number."""
     return int.from_bytes(md5(text).digest(), "big")
 
 
 class DecayingCounter:
-    """A count of events, each of which counts for less as time passes: by a factor of e in each period."""
+    """An event count with exponential decay: it falls by a factor of e in each period."""
 
     def __init__(self) -> None:
-        self.count = 0.0  # as of the newest event
+        self.count = 0.0  # at the time of the newest event
         self.updated_at = 0.0
 
     def value(self, now: float, period: float) -> float:
-        """Returns the count as of now."""
+        """Returns the decayed count."""
         return self.count * exp((self.updated_at - now) / period)
 
     def add(self, now: float, period: float) -> None:
@@ -48,98 +48,98 @@
         self.updated_at = now
 
     def restore(self, count: float, updated_at: float) -> None:
-        """Goes on with a count of a former process."""
+        """Restores the count of a previous process."""
         self.count = count
         self.updated_at = updated_at
 
     def rate(self, now: float, period: float, counting_time: float) -> float:
-        """Returns the events a second, where counting began so many seconds ago."""
+        """Returns the events per second, if counting began `counting_time` seconds ago."""
         return self.value(now, period) / (period * (1 - exp(-counting_time / period)))
 
 
 class Server:
-    """The one record of a server."""
+    """The state of one server."""
 
     def __init__(self, server_id: str, now: float) -> None:
         self.id = server_id
-        self.handle: Any = None  # the host's own
+        self.handle: Any = None  # used by the host only
         name = server_id.encode()
         self.points = [place_on_ring(name + suffix) for suffix in POINT_SUFFIXES]
         self.zone = ""
         self.cell = 0
-        self.size = 1.0  # its capacity, as a multiple of the usual server's
+        self.size = 1.0  # capacity, relative to an ordinary server
         self.status = EndpointStatus.REMOVED
-        self.unready_since = now  # when a list first said that it drains or is removed
-        self.migrate_by = inf  # when all its sessions have to be migrated
-        self.connections = 0  # attempts and sessions of this proxy that have not ended
-        self.pending_attempts: dict[Attempt, None] = {}  # out and unanswered, oldest first
-        self.requests_by_group: dict[int, dict[Request, None]] = {}  # its sessions, by ring position
-        self.permit_requests: dict[Request, None] = {}  # that wait for a slow-start permit, oldest first
+        self.unready_since = now  # when it was first listed as draining or removed
+        self.migrate_by = inf  # deadline for migrating all its sessions
+        self.connections = 0  # unfinished attempts and sessions of this proxy
+        self.pending_attempts: dict[Attempt, None] = {}  # sent and not answered yet, oldest first
+        self.requests_by_group: dict[int, dict[Request, None]] = {}  # its sessions by ring position
+        self.permit_requests: dict[Request, None] = {}  # waiting for a slow-start permit, oldest first
         self.record_restart(0.0)
 
     def record_restart(self, at: float) -> None:
-        """Forgets what was known of the process before; a new one has started at that time."""
+        """Resets the state that belongs to the server's previous process; a new one started at `at`."""
         self.started = at
-        self.usual_response_time = 0.0  # seconds from an attempt to its answer; 0: none yet
-        self.unanswered_time = 0.0  # seconds of timed-out attempts since the last answer
-        self.trial_attempts = 0  # attempts allowed at once while it is ejected; 0: it is not
-        self.fails_every_attempt = False  # whether no attempt was established since it was ejected
-        self.ejection_time = 0.0  # seconds between two trials
+        self.usual_response_time = 0.0  # seconds from an attempt to its answer; 0: unknown
+        self.unanswered_time = 0.0  # seconds spent on timed-out attempts since the last answer
+        self.trial_attempts = 0  # concurrent trial attempts allowed while it is ejected; 0: not ejected
+        self.fails_every_attempt = False  # whether no attempt has been established since it was ejected
+        self.ejection_time = 0.0  # seconds from an ejection to the next trial attempts
         self.next_trial_at = 0.0
         self.recent_attempts = DecayingCounter()
-        self.slow_until = 0.0  # up to when it counts as one whose messages are slow,
-        self.overdue_until = 0.0  # as one whose messages miss the shortest objective,
-        self.dropping_until = 0.0  # and as one that drops connections
+        self.slow_until = 0.0  # until when it counts as slow,
+        self.overdue_until = 0.0  # as one whose messages miss the shortest latency objective,
+        self.dropping_until = 0.0  # and as dropping connections
         self.next_probe_at = 0.0
-        self.message_time_reported_at = 0.0  # by the server or a peer
-        self.slow_start_slot = NO_SLOT  # the number of the slot in which attempts were last counted
-        self.slow_start_sent = 0  # attempts sent in that slot, or granted in it by this aggregator
-        self.connections_by_peer: dict[Any, int] = {}  # as each peer last reported
-        self.connections_elsewhere = 0  # their sum
+        self.message_time_reported_at = 0.0  # when the server or a peer last reported its message time
+        self.slow_start_slot = NO_SLOT  # number of the slot that `slow_start_sent` belongs to
+        self.slow_start_sent = 0  # attempts sent in it, or permits granted in it by this aggregator
+        self.connections_by_peer: dict[Any, int] = {}  # as last reported by each peer
+        self.connections_elsewhere = 0  # sum of `connections_by_peer`
 
     def mark_slow(self, until: float) -> None:
-        """Counts the server as slow, as several other proxies say; what is measured here goes before it."""
+        """Marks the server as slow until then, as several other proxies report; never shortens the time."""
         self.slow_until = max(self.slow_until, until)
 
 
 @dataclass(eq=False)
 class Attempt:
-    """One try of a request at a server, and the session that comes of it."""
+    """An attempt to send a request to a server, and the session established by it."""
 
     request: Request
     server: Server
     sent: float
     established: bool = False
     ended: bool = False
-    outcome: AttemptOutcome | None = None  # once it has ended
+    outcome: AttemptOutcome | None = None  # set when it ends
 
 
 @dataclass(eq=False)
 class Request:
-    """A client's request from its arrival on, and the session that comes of it."""
+    """A client's request, and the session established by it."""
 
-    handle: Any  # the host's own
+    handle: Any  # used by the host only
     traffic_class: TrafficClass
     ring_position: int
     has_group: bool
-    deadline: float  # by which it has to be answered
-    resumed: bool  # whether it goes on with a session that another proxy carried
-    reconnecting: bool  # whether its client comes again after a break or a migration
+    deadline: float  # time by which it has to be answered
+    resumed: bool  # whether it resumes a session from another proxy
+    reconnecting: bool  # whether its client reconnects after a lost connection or a migration
     attempts: list[Attempt] = field(default_factory=list)
-    local_faults: int = 0  # attempts that failed on this machine and never left it
-    target: Server = field(init=False)  # where it is placed
-    answered: bool = False  # whether nothing more is owed to the client
+    local_faults: int = 0  # attempts that failed on this machine before anything was sent
+    target: Server = field(init=False)  # the server chosen for its next attempt
+    answered: bool = False  # whether it needs no further answer
     permit_requested: bool = False
-    reject_reason: RejectReason | None = None  # why it got no further attempt
-    permit_for: Server | None = None  # the server in slow start that it may go to
-    may_have_run: Attempt | None = None  # the first attempt not proved never to have run
+    reject_reason: RejectReason | None = None  # why it was rejected or aborted
+    permit_for: Server | None = None  # the server in slow start for which it has a permit
+    may_have_run: Attempt | None = None  # the first attempt that may have run
 
     @property
     def attempts_sent(self) -> int:
-        """How many attempts have left this machine, or may have."""
+        """The number of attempts that were sent, or may have been."""
         return len(self.attempts) - self.local_faults
 
     @property
     def active_attempt(self) -> Attempt | None:
-        """The newest attempt, while it has not ended."""
+        """The newest attempt, or None if it has ended."""
         return self.attempts[-1] if self.attempts and not self.attempts[-1].ended else None
--- a/brambleplank/settings.py
+++ b/brambleplank/settings.py
@@ -1,6 +1,6 @@
-"""The settings that hosts are given, decoded into the terms of the decisions.
+"""Decodes the settings of the wire and of configuration files.
 
-The keys and words are those of the wire and of configuration files; they are mapped here and nowhere else.
+Only this module maps their keys and values to the terms of the decisions.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
     "by_key": Idempotency.IDEMPOTENT_IN_GROUP,
     "once": Idempotency.NON_IDEMPOTENT,
 }
-MICRO = 1e-6  # seconds in a microsecond
-MAX_SESSION_SILENCE = 4.5  # seconds; 7 are allowed, and a line goes out every 2
-MAX_SHUTDOWN_TIME = 3.0  # seconds; 0.7 more are left for the ends of sessions to arrive
+MICRO = 1e-6  # seconds per microsecond
+MAX_SESSION_SILENCE = 4.5  # seconds; the limit is 7, and a line is sent every 2 seconds
+MAX_SHUTDOWN_TIME = 3.0  # seconds; leaves 0.7 seconds for the ends of sessions to arrive
 
 MeaningT = TypeVar("MeaningT")
 
 
 class MalformedError(BrambleplankError):
-    """What was read is not of this wire."""
+    """The input does not follow the wire protocol."""
 
     ADVICE = "start this program by the line that its host's page gives, with a host of the same wire"
 
 
 def decode_word(meanings: Mapping[Any, MeaningT], word: Any, kind: str) -> MeaningT:
-    """Returns the meaning of one of the wire's words. Raises MalformedError for an unknown one."""
+    """Returns the meaning of a word of the wire. Raises MalformedError if it is unknown."""
     if word not in meanings:
         raise MalformedError(f"unknown {kind} {word!r:.40}")
     return meanings[word]
 
 
 def decode_settings(info: dict[str, Any], sockets: bool = False) -> Settings:
-    """Decodes the settings; keys that are not known here are left alone.
+    """Decodes the settings and ignores unknown keys.
 
-    On sockets the endpoint list is followed, never pushed, and no message times are reported.
+    With `sockets`, the endpoint list is subscribed to instead of pushed, and servers report no message times.
     """
     limits = info["policy_limits"]
     rules = info["rules"]
@@ -74,9 +74,9 @@
 
 
 def decode_proxies(info: dict[str, Any]) -> tuple[int, int]:
-    """Returns the number of proxies in front of the same servers, and this proxy's own among them.
+    """Returns the number of proxies in front of the same servers, and the number of this one among them.
 
-    Proxies of another build may stand beside those of this one, before or after them in the numbering.
+    Proxies of another build may share the servers; they are numbered before or after those of this build.
     """
     other_build = info.get("beside") or {}
     others = other_build.get("balancers", 0)
