--- a/brambleplank/decisions/__init__.py
+++ b/brambleplank/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of one proxy: free of I/O, of Twisted and of clocks; the time comes in with each call."""
+"""The balancing decisions of one proxy. No I/O, no Twisted and no clock: each call passes the time."""
--- a/brambleplank/decisions/chain.py
+++ b/brambleplank/decisions/chain.py
@@ -1,4 +1,4 @@
-"""The stages that a request passes on its way to a server, in order."""
+"""The chain of stages that a request passes on its way to a server."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class StageChain:
-    """Passes requests down the stages, and what becomes of their attempts back up."""
+    """Passes requests through the stages in order, and outcomes of attempts in reverse order."""
 
     def __init__(
         self, context: Context, server_pool: ServerPool, sessions: Sessions, migration: Migration
@@ -51,17 +51,17 @@
         self.stages: list[Stage] = [self.deadline, self.concurrency_limiter, placement, *later_stages]
 
     def admit(self, now: float, request: Request) -> None:
-        """Passes the request down the chain, up to the stage that queues or ends it."""
+        """Passes the request through the stages, until one of them queues or ends it."""
         for stage in self.stages:
             if not stage.admit(now, request):
                 return
 
     def attempt_established(self, now: float, attempt: Attempt, delay: float) -> None:
-        """Tells the stages, last one first, that the attempt is established."""
+        """Notifies the stages, last one first, of an established attempt."""
         for stage in reversed(self.stages):
             stage.attempt_established(now, attempt, delay)
 
     def attempt_ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome, delay: float) -> None:
-        """Tells the stages, last one first, how the attempt or its session ended."""
+        """Notifies the stages, last one first, of the end of an attempt or its session."""
         for stage in reversed(self.stages):
             stage.attempt_ended(now, attempt, outcome, delay)
--- a/brambleplank/decisions/concurrency_limiter.py
+++ b/brambleplank/decisions/concurrency_limiter.py
@@ -1,4 +1,4 @@
-"""A limit on the attempts out at once, over all servers, and a budget for retries."""
+"""A limit on concurrent attempts over all servers, and a retry budget."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from brambleplank.model import AttemptOutcome
 from brambleplank.records import Attempt, DecayingCounter, Request
 
-INITIAL_FLEET_LIMIT = 128  # attempts out at once at a start, of all proxies
-MIN_FLEET_LIMIT = 16  # attempts out at once, of all proxies, that the limit never goes below
-MAX_RETRY_BUDGET = 4.0  # retries
-RETRIES_PER_ESTABLISHED_ATTEMPT = 1 / 8  # retries that each established attempt adds to the budget
-LATE_DEADLINE_SHARE = 1 / 2  # of the deadline, after which an established attempt counts as late
+INITIAL_FLEET_LIMIT = 128  # concurrent attempts of all proxies at a start
+MIN_FLEET_LIMIT = 16  # concurrent attempts of all proxies; the limit never falls below
+MAX_RETRY_BUDGET = 4.0  # retries that may be saved up
+RETRIES_PER_ESTABLISHED_ATTEMPT = 1 / 8  # retries that an established attempt adds to the budget
+LATE_DEADLINE_SHARE = 1 / 2  # share of the deadline after which an established attempt counts as late
 FAILURES = (AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED)
 
 
 class ConcurrencyLimiter(Stage):
-    """Limits the attempts out at once to what is answered in time; other requests wait in a queue.
+    """Limits concurrent attempts to what is answered in time; other requests wait in a queue.
 
-    The servers share what stands behind them. Once that is late, retries would keep it late after the cause
-    has gone.
+    The servers share a backend. Once that is overloaded, retries would keep it overloaded even after the
+    cause has gone.
     """
 
     def __init__(self, context: Context, place: Place) -> None:
@@ -30,35 +30,35 @@
         self.timely_attempts = DecayingCounter()
         self.late_attempts = DecayingCounter()
         self.halved_at = 0.0
-        self.paused_until = 0.0  # a limit below one attempt is a pause after each
+        self.paused_until = 0.0  # a limit below one attempt is applied as pauses between attempts
         self.retry_budget = MAX_RETRY_BUDGET / self.settings.proxies
         self.queue: dict[Request, None] = {}
 
     def restore_limit(self, limit: float) -> None:
-        """Goes on with the limit of a former process of this proxy."""
+        """Restores the limit of a previous process of this proxy."""
         self.limit = limit
 
     def has_capacity(self, now: float) -> bool:
-        """Returns whether one more attempt may go out."""
+        """Returns whether another attempt may be started."""
         return now >= self.paused_until and self.concurrent_attempts < self.limit
 
     def admit(self, now: float, request: Request) -> bool:
-        """Queues the request where the limit is reached, unless it resumes a session."""
+        """Queues the request if the limit is reached, unless it is a resumed session's first attempt."""
         if self.has_capacity(now) or (request.resumed and not request.attempts):
             return True
         self.queue[request] = None
         return False
 
     def remove(self, request: Request) -> bool:
-        """Takes the request out of the queue. Returns whether it was there."""
+        """Removes the request from the queue. Returns whether it was queued."""
         was_queued = request in self.queue
         self.queue.pop(request, None)
         return was_queued
 
     def admit_queued(self, now: float) -> None:
-        """Places queued requests while the limit allows it."""
+        """Places queued requests as far as the limit allows."""
         while self.queue and self.has_capacity(now):
-            # The newest goes first, as the oldest may no longer be answered in time.
+            # Newest first: the oldest may no longer be answered in time.
             newest, _ = self.queue.popitem()
             self.place(now, newest)
 
@@ -67,11 +67,11 @@
         self.retry_budget -= 1
 
     def attempt_started(self) -> None:
-        """Counts an attempt that goes out."""
+        """Counts a new attempt."""
         self.concurrent_attempts += 1
 
     def attempt_established(self, now: float, attempt: Attempt, delay: float) -> None:
-        """Raises the limit if the attempt was quick and the limit is reached."""
+        """Adds to the retry budget; raises the limit if it is reached and the attempt met its objective."""
         self.retry_budget = min(
             MAX_RETRY_BUDGET, max(0.0, self.retry_budget) + RETRIES_PER_ESTABLISHED_ATTEMPT
         )
@@ -85,13 +85,13 @@
         self.release()
 
     def raise_limit(self) -> None:
-        """Adds one attempt to the limit, or doubles it below one."""
+        """Raises the limit by one attempt, or doubles a limit below one."""
         if self.limit < 1 <= 2 * self.limit:
             self.host.log("concurrency limit at one again: attempts are answered")
         self.limit += min(1.0, self.limit)
 
     def attempt_ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome, _delay: float) -> None:
-        """Counts an attempt that was never established."""
+        """Counts the end of an attempt that was never established."""
         if attempt.established:
             return
         if outcome in FAILURES:
@@ -99,20 +99,23 @@
         self.release()
 
     def release(self) -> None:
-        """Counts an attempt that is no longer out, and lets queued requests follow."""
+        """Counts an answered or failed attempt, and schedules queued requests."""
         self.concurrent_attempts -= 1
         if self.queue:
             self.host.call_later(0.0, self.admit_queued)
 
     def count_late_attempt(self, now: float, attempt: Attempt) -> None:
-        """Counts a failed or late attempt; halves the limit if most are, once for all sent before."""
+        """Counts a failed or late attempt, and halves the limit if most attempts are.
+
+        Attempts sent before the limit was last halved do not halve it again.
+        """
         deadline = attempt.request.traffic_class.deadline
         self.late_attempts.add(now, deadline)
         if self.is_congested(now, deadline) and attempt.sent >= self.halved_at:
             self.halve_limit(now, deadline)
 
     def halve_limit(self, now: float, deadline: float) -> None:
-        """Halves the limit, down to a least one; below one attempt, pauses."""
+        """Halves the limit, down to the minimum; if it is below one attempt, pauses new attempts."""
         min_limit = min(1.0, MIN_FLEET_LIMIT / self.settings.proxies)
         previous_limit = self.limit
         self.halved_at = now
@@ -125,5 +128,5 @@
             self.host.call_later(pause, self.admit_queued)
 
     def is_congested(self, now: float, period: float) -> bool:
-        """Returns whether most attempts that ended lately failed or were late, whatever their server."""
+        """Returns whether most recent attempts, at all servers, failed or were late."""
         return self.late_attempts.value(now, period) > self.timely_attempts.value(now, period)
--- a/brambleplank/decisions/context.py
+++ b/brambleplank/decisions/context.py
@@ -1,4 +1,4 @@
-"""What every part of one proxy's decisions is given."""
+"""The context that all parts of one proxy's decisions share."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class Context:
-    """The host that carries the decisions, the settings in force, and the source of random numbers.
+    """The host, the current settings and the random number generator.
 
-    All parts of a balancer share one context, so that a reload replaces the settings of all at once.
+    All parts of a balancer share one context, so that a reload replaces their settings at once.
     """
 
     def __init__(self, host: Host[Request, Server], settings: Settings, rng: Random) -> None:
@@ -22,9 +22,9 @@
 
     @property
     def deadline_margin(self) -> float:
-        """Seconds before a request's deadline at which it is answered, for the answer's way to the client."""
+        """Seconds before its deadline at which a request is answered, so that the answer arrives in time."""
         return 2 * self.settings.tick
 
     def update_settings(self, settings: Settings) -> None:
-        """Replaces the settings in force."""
+        """Replaces the current settings."""
         self.settings = settings
--- a/brambleplank/decisions/deadline.py
+++ b/brambleplank/decisions/deadline.py
@@ -1,4 +1,4 @@
-"""One final answer to each request, ahead of its deadline."""
+"""Ensures one final answer to each request before its deadline."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from brambleplank.model import AttemptOutcome, RejectReason
 from brambleplank.records import Attempt, Request
 
-MAX_LOCAL_FAULTS = 16  # attempts of one request that may fail on this machine
-RESERVED_DESCRIPTOR_SHARE = 1 / 8  # of all descriptors, kept for answers and the endpoint list
+MAX_LOCAL_FAULTS = 16  # attempts of a request that may fail on this machine
+RESERVED_DESCRIPTOR_SHARE = 1 / 8  # share of all descriptors, reserved for answers and the endpoint list
 
 
 class DeadlineStage(Stage):
-    """Answers a request at once when nothing more can be tried in time, and tries again after failures."""
+    """Retries failed attempts, and answers a request as soon as no further attempt is possible."""
 
     def __init__(
         self, context: Context, place: Place, answers: FinalAnswers, limiter: ConcurrencyLimiter
@@ -25,18 +25,18 @@
         self.place = place
         self.answers = answers
         self.limiter = limiter
-        self.delayed_retries: dict[Request, None] = {}  # until their next attempt, after a local fault
+        self.delayed_retries: dict[Request, None] = {}  # requests, after a local fault
 
     def admit(self, now: float, request: Request) -> bool:
-        """Answers a request that no further attempt can serve."""
+        """Gives a request its final answer if it may have no further attempt."""
         reason = self.find_reject_reason(now, request)
         if reason is not None:
             self.answers.reject_or_abort(request, reason)
         return reason is None
 
     def find_reject_reason(self, now: float, request: Request) -> RejectReason | None:
-        """Returns why the request may have no further attempt, if so."""
-        # With no descriptor left, nothing can be connected, accepted or followed any more.
+        """Returns why the request may have no further attempt; None if it may."""
+        # Without a descriptor left, the proxy could neither connect, accept, nor follow the endpoint list.
         if self.host.free_descriptor_share() <= RESERVED_DESCRIPTOR_SHARE:
             return RejectReason.DESCRIPTORS
         if request.deadline - self.context.deadline_margin - now <= 0:
@@ -46,16 +46,16 @@
         return None
 
     def start_timer(self, now: float, request: Request) -> None:
-        """Lets the request expire ahead of its deadline."""
+        """Schedules the expiry of the request shortly before its deadline."""
         time_left = max(0.0, request.deadline - self.context.deadline_margin - now)
         self.expire_after(time_left, request)
 
     def expire_after(self, seconds: float, request: Request) -> None:
-        """Lets the request expire after that many seconds, if it is not answered by then."""
+        """Schedules the expiry of the request after that many seconds."""
         self.host.call_later(seconds, partial(self.expire, request=request))
 
     def expire(self, _now: float, request: Request) -> None:
-        """Answers a request whose time is up, unless it is established or answered."""
+        """Gives an expired request its final answer, unless it is established or answered."""
         attempt = request.active_attempt
         if request.answered or (attempt and attempt.established):
             return
@@ -67,7 +67,7 @@
         )
 
     def attempt_ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome, _delay: float) -> None:
-        """Tries the request again, if its retry is affordable."""
+        """Retries the request, unless it failed with an error and the retry budget is exhausted."""
         request = attempt.request
         if request.answered:
             return
@@ -82,7 +82,7 @@
             self.place(now, request)
 
     def retry_after_local_fault(self, request: Request) -> None:
-        """Tries again after an attempt that failed on this machine: at once, then after doubling pauses."""
+        """Retries after an attempt that failed on this machine: at once, then after doubling delays."""
         if request.local_faults > MAX_LOCAL_FAULTS:
             self.answers.reject_or_abort(request, RejectReason.LOCAL_FAULTS)
             return
@@ -94,7 +94,7 @@
         self.host.call_later(pause, partial(self.resume, request=request))
 
     def resume(self, now: float, request: Request) -> None:
-        """Places a request whose pause is over."""
+        """Places a request whose delay is over."""
         self.delayed_retries.pop(request, None)
         if not request.answered:
             self.place(now, request)
--- a/brambleplank/decisions/dispatch.py
+++ b/brambleplank/decisions/dispatch.py
@@ -1,4 +1,4 @@
-"""The attempt itself, the last stage of the chain."""
+"""The last stage of the chain, which starts the attempts."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from brambleplank.model import AttemptOutcome
 from brambleplank.records import Attempt, Request
 
-MAX_WAIT_RESPONSE_TIMES = 4  # usual response times that an attempt may take, if longer than the objective
+MAX_WAIT_RESPONSE_TIMES = 4  # usual response times that an attempt may take if that exceeds the objective
 NEVER_RAN = frozenset(
     (AttemptOutcome.FULL, AttemptOutcome.UNREACHABLE, AttemptOutcome.ABANDONED, AttemptOutcome.LOCAL_FAULT)
 )
 
 
 class Dispatcher(Stage):
-    """Sends attempts and keeps the records of how they end."""
+    """Starts attempts and records their outcomes."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self.sessions = sessions
 
     def admit(self, now: float, request: Request) -> bool:
-        """Sends an attempt to the request's target."""
+        """Starts an attempt at the request's target."""
         attempt = Attempt(request, request.target, now)
         request.attempts.append(attempt)
         request.may_have_run = request.may_have_run or attempt
@@ -46,21 +46,21 @@
         return True
 
     def max_wait(self, now: float, request: Request) -> float:
-        """Returns the seconds after which the newest attempt is given up."""
+        """Returns the timeout of the newest attempt, in seconds."""
         time_left = request.deadline - self.context.deadline_margin - now
         is_last = request.attempts_sent >= request.traffic_class.max_attempts
         if is_last or self.limiter.retry_budget < 1:
-            return time_left  # Where what servers share is late, an early timeout asks it twice.
+            return time_left  # An early timeout would load a slow shared backend twice.
         usual = MAX_WAIT_RESPONSE_TIMES * self.outlier_ejection.usual_response_time
         return min(max(request.traffic_class.latency_objective, usual), time_left / 2)
 
     def attempt_established(self, now: float, attempt: Attempt, _delay: float) -> None:
-        """Counts the session."""
+        """Removes the attempt from the pending ones and counts its session."""
         attempt.server.pending_attempts.pop(attempt, None)
         self.sessions.session_established(now, attempt)
 
     def attempt_ended(self, _now: float, attempt: Attempt, outcome: AttemptOutcome, _delay: float) -> None:
-        """Records the outcome. Whatever the request resumed, it is established anew from here on."""
+        """Records the outcome. From here on, the request no longer resumes its previous session."""
         request = attempt.request
         attempt.outcome = outcome
         attempt.ended = True
--- a/brambleplank/decisions/endpoint_list.py
+++ b/brambleplank/decisions/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The servers of the endpoint list: their records, statuses and sizes, and which are available."""
+"""The servers of the endpoint list: records, statuses, sizes and availability."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from brambleplank.model import Endpoint, EndpointStatus
 from brambleplank.records import Server
 
-NO_LIST = -1.0  # the time of the first list before it has come
+NO_LIST = -1.0  # the time of the first list, as long as none has been received
 MAX_COUNTED_FAILURES = 3
-FIRST_POLL_SHARE = 1 / 16  # of the longest poll interval, waited after the first failure; then doubled
+FIRST_POLL_SHARE = 1 / 16  # of the longest poll interval; the least delay after a failure, then doubled
 
 
 class EndpointList:
-    """The one owner of the servers' records; lists and changes to them are merged into it."""
+    """Owns the records of all servers, and merges endpoint lists into them."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
         self.servers: dict[str, Server] = {}  # by id
         self.ready: list[Server] = []
-        self.available: list[Server] = []  # those of the ready ones that are warm and answer
-        self.warm_count = 0
-        self.mean_size = 1.0  # of a ready server
+        self.available: list[Server] = []  # ready servers that are warm and do not fail every attempt
+        self.warm_count = 0  # ready servers that are not in slow start
+        self.mean_size = 1.0  # of the ready servers
         self.total_size = 0.0  # of all servers
-        self.latest_start = 0.0  # of a ready server
+        self.latest_start = 0.0  # of the ready servers
         self.may_have_failing_servers = False
         self.first_list_at = NO_LIST
 
@@ -34,11 +34,11 @@
         return self.first_list_at >= 0
 
     def first_list_received(self, now: float) -> None:
-        """Notes when the first list came."""
+        """Records the time of the first list."""
         self.first_list_at = now
 
     def merge(self, now: float, endpoints: list[Endpoint], complete: bool) -> None:
-        """Takes in a list, or changes to one. A server that is not in a whole list is removed."""
+        """Merges a list, or changes to it. A server missing from a complete list is removed."""
         listed_ids = {endpoint.id for endpoint in endpoints}
         for server in self.servers.values():
             if complete and server.id not in listed_ids:
@@ -58,7 +58,7 @@
         self.mean_size = sum(server.size for server in self.ready) / max(1, len(self.ready))
 
     def find_or_add(self, now: float, server_id: str) -> Server:
-        """Returns the record of the server, a new one if no list has named it yet."""
+        """Returns the record of the server; creates it if it has not been listed yet."""
         return self.servers.get(server_id) or self.servers.setdefault(server_id, Server(server_id, now))
 
     def listed(self) -> list[Server]:
@@ -66,13 +66,14 @@
         return [server for server in self.servers.values() if server.status is not EndpointStatus.REMOVED]
 
     def note_failing_server(self) -> None:
-        """Notes that a server may fail every attempt, so that it does not count as available."""
+        """Notes that some server may fail every attempt, so that availability has to be recomputed."""
         self.may_have_failing_servers = True
 
     def refresh(self, now: float) -> None:
         """Recomputes which servers are warm and available.
 
-        Servers that have just started, or are dead, would look like room, and the others too full.
+        Counted as available, servers that are dead or in slow start would look like spare capacity, and the
+        others would look overloaded compared with the mean.
         """
         latest_warm_start = max(0.0, now - self.context.settings.slow_start_time)
         self.available = self.ready
@@ -85,18 +86,18 @@
 
 
 class EndpointListRetries:
-    """Spaces out the calls for the endpoint list after failures."""
+    """Schedules new subscriptions to the endpoint list after failures, with exponential backoff."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.failures = 0  # in a row
+        self.failures = 0  # consecutive
 
     def succeeded(self) -> None:
-        """Begins again with the shortest pause."""
+        """Resets the backoff."""
         self.failures = 0
 
     def failed(self) -> None:
-        """Asks for the list again after a pause, so that all proxies together do not overload its service."""
+        """Subscribes again after a random delay, so that proxies do not overload the discovery service."""
         self.failures = min(self.failures + 1, MAX_COUNTED_FAILURES)
         max_pause = self.context.settings.max_list_poll_interval * FIRST_POLL_SHARE * 2**self.failures
         pause = max_pause * self.context.rng.uniform(0.5, 1.0)
@@ -104,7 +105,7 @@
 
 
 def set_status(now: float, server: Server, status: EndpointStatus) -> None:
-    """Changes the server's status. One that is ready again needs no migration."""
+    """Sets the server's status. A server that is ready again cancels its migration."""
     if server.status is EndpointStatus.READY and status is not EndpointStatus.READY:
         server.unready_since = now
     if status is EndpointStatus.READY:
@@ -113,5 +114,5 @@
 
 
 def is_needed(server: Server) -> bool:
-    """Returns whether the server's record is still needed."""
+    """Returns whether the server is listed or still has connections."""
     return bool(server.connections) or server.status is not EndpointStatus.REMOVED
--- a/brambleplank/decisions/final_answers.py
+++ b/brambleplank/decisions/final_answers.py
@@ -1,4 +1,4 @@
-"""The answer to a request that gets no further attempt."""
+"""The final answer to a request that gets no further attempt."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from brambleplank.model import Idempotency, RejectReason
 from brambleplank.records import Request
 
-SHORTEST_PAUSE_SHARE = 0.5  # of the longest retry-after; drawn up to all of it, so that clients spread
+SHORTEST_PAUSE_SHARE = 0.5  # of the longest retry-after; the rest is random, to spread the retries
 
 
 class FinalAnswers:
@@ -16,7 +16,7 @@
         self.context = context
 
     def reject_or_abort(self, request: Request, reason: RejectReason) -> None:
-        """Ends a request: with a reject if a retry is harmless, else with an answer that promises nothing."""
+        """Rejects the request if a retry is harmless; else aborts it, which promises nothing."""
         request.answered = True
         request.reject_reason = reason
         if is_retry_harmless(request):
@@ -25,7 +25,7 @@
             self.context.host.abort(request)
 
     def retry_after(self) -> float:
-        """Returns the seconds after which the client should come again; 0 where none may be advised."""
+        """Returns the seconds after which the client should retry; 0 if the settings allow no such advice."""
         settings = self.context.settings
         if not settings.may_send_retry_after:
             return 0.0
@@ -33,7 +33,7 @@
 
 
 def is_retry_harmless(request: Request) -> bool:
-    """Returns whether the client may send the request again without running it twice."""
+    """Returns whether the client can retry the request without it taking effect twice."""
     traffic_class = request.traffic_class
     if traffic_class.idempotency is Idempotency.IDEMPOTENT or request.may_have_run is None:
         return True
--- a/brambleplank/decisions/group_reports.py
+++ b/brambleplank/decisions/group_reports.py
@@ -1,4 +1,4 @@
-"""Reports between proxies of the servers at which displaced affinity groups have found a place."""
+"""Reports between proxies of the servers that displaced affinity groups have moved to."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from brambleplank.model import REPORT_PERIOD, EndpointStatus
 from brambleplank.records import Request, Server
 
-MAX_REPORT_DELAY = REPORT_PERIOD / 4  # seconds for which reports are collected, at most
+MAX_REPORT_DELAY = REPORT_PERIOD / 4  # seconds for which reports are batched at most
 
 
 class GroupReports:
-    """Reports displaced groups that no other proxy has reported, and takes in reports of others."""
+    """Reports displaced groups, unless another proxy has already reported them; handles others' reports."""
 
     def __init__(self, context: Context, ring: HashRing, groups: GroupMembers) -> None:
         self.context = context
@@ -21,7 +21,7 @@
         self.unreported: dict[int, Server] = {}  # by the group's ring position
 
     def session_established(self, now: float, request: Request, server: Server) -> None:
-        """Schedules a report where a member of a group is at a server that other proxies would not expect."""
+        """Schedules a report if the server is not where other proxies would place the group."""
         position = request.ring_position
         if not request.has_group or not self.context.settings.aggregates_load:
             return
@@ -32,12 +32,12 @@
         self.unreported[position] = server
 
     def expected_server(self, now: float, position: int) -> Server | None:
-        """Returns the reported server of the group, or else the first ready one round the ring."""
+        """Returns the reported server of the group, else the first ready server along the ring."""
         ready = (s for s in self.ring.servers_from(position) if s.status is EndpointStatus.READY)
         return self.groups.reported_server(now, position) or next(ready, None)
 
     def send_reports(self, now: float) -> None:
-        """Reports what no other proxy has reported meanwhile."""
+        """Sends the batched reports, without those that another proxy has sent in the meantime."""
         unreported = self.unreported
         self.unreported = {}
         reports = [
@@ -51,5 +51,5 @@
             self.context.host.report_group_servers(reports)
 
     def report_received(self, now: float, position: int, server: Server) -> None:
-        """Takes in a report; it holds for as long as a slow start lasts."""
+        """Stores a report; it expires after the slow-start time."""
         self.groups.record_report(position, server, now + self.context.settings.slow_start_time)
--- a/brambleplank/decisions/hash_ring.py
+++ b/brambleplank/decisions/hash_ring.py
@@ -9,18 +9,18 @@
 
 
 class HashRing:
-    """The points of all servers, sorted. A ring position is a number of the same range as the points."""
+    """The sorted points of all servers. Ring positions and points share one range of numbers."""
 
     def __init__(self) -> None:
         self.points: list[int] = []
-        self.owners: dict[int, Server] = {}  # by their points
+        self.owners: dict[int, Server] = {}  # by point
         self.servers: dict[Server, None] = {}
 
     def build(self, servers: list[Server]) -> None:
-        """Replaces the servers by these.
+        """Replaces the servers on the ring.
 
-        Only points of servers that changed are touched: with hundreds of servers, a full sort at each change
-        would cost more than all requests.
+        Only the points of added and removed servers are changed: with hundreds of servers, rebuilding the
+        ring at each change would cost more than all requests.
         """
         updated = dict.fromkeys(servers)
         points_before = len(self.points)
@@ -38,13 +38,13 @@
         self.servers = updated
 
     def owner(self, position: int) -> Server | None:
-        """Returns the server whose point is the last at or before the position; none on an empty ring."""
+        """Returns the server with the last point at or before the position; None if the ring is empty."""
         if not self.points:
             return None
         return self.owners[self.points[bisect_right(self.points, position) - 1]]
 
     def servers_from(self, position: int) -> Iterator[Server]:
-        """Yields the distinct servers round the ring, from the owner of the position on."""
+        """Yields the distinct servers along the ring, starting with the owner of the position."""
         start = bisect_right(self.points, position) - 1
         seen: set[Server] = set()
         for index in range(start, start + len(self.points)):
--- a/brambleplank/decisions/health_checks.py
+++ b/brambleplank/decisions/health_checks.py
@@ -1,4 +1,4 @@
-"""Probes of servers, and what is done with the message times that they or peers report."""
+"""Probes of servers, and the handling of measured and reported message times."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from brambleplank.model import REPORT_PERIOD
 from brambleplank.records import Server
 
-PROBE_PERIODS = 3  # report periods between two probes of a server that is not slow
-INITIAL_PERIODS = 4  # report periods after the first list in which servers are probed as often as slow ones
-UNREPORTED_PERIODS = (4, 8)  # report periods without a report, after which a distant server is probed
-SHARED_WAIT = (1.5, 2.5)  # probe intervals to wait after another proxy's report
+PROBE_PERIODS = 3  # report periods between probes of a server that is not slow
+INITIAL_PERIODS = 4  # report periods after the first list in which probes are as frequent as for slow servers
+UNREPORTED_PERIODS = (4, 8)  # report periods without a report after which a server of another zone is probed
+SHARED_WAIT = (1.5, 2.5)  # probe intervals from another proxy's report to the next probe
 
 
 class HealthChecks:
     """Probes the servers of this zone.
 
-    From afar, a probe's time says less, so distant servers are probed only where nobody reports on them.
+    From another zone, the time of a probe says less about the server, so servers of other zones are probed
+    only if no proxy reports on them.
     """
 
     def __init__(
@@ -30,10 +31,10 @@
         self.overload = overload
 
     def run(self, now: float) -> None:
-        """Sends the probes that are due, several times a period."""
+        """Sends the probes that are due, and reschedules itself several times per report period."""
         try:
             self.probe_due(now)
-        finally:  # An exception would otherwise end the probes for good.
+        finally:  # Otherwise an exception would stop all probes for good.
             pause = REPORT_PERIOD * self.context.rng.uniform(1 / 16, 1 / 8)
             self.context.host.call_later(pause, self.run)
 
@@ -46,31 +47,31 @@
                 self.context.host.probe(server)
 
     def is_unreported(self, now: float, server: Server) -> bool:
-        """Returns whether nobody has reported on the server for long, drawn anew each time."""
+        """Returns whether nobody has reported on the server for some time, randomized at each call."""
         reported_at = max(server.message_time_reported_at, self.endpoints.first_list_at)
         return now - reported_at > REPORT_PERIOD * self.context.rng.uniform(*UNREPORTED_PERIODS)
 
     def may_probe(self, now: float, server: Server, is_unreported: bool) -> bool:
-        """Returns whether this proxy is one to probe the server."""
+        """Returns whether this proxy should probe the server."""
         settings = self.context.settings
         if not settings.may_message_peers:
-            # Probes of all proxies, each by itself, would push over a server in slow start.
+            # Without coordination, the probes of all proxies would overload a server in slow start.
             return server.zone == settings.zone and not self.slow_start.is_in_slow_start(now, server)
-        # Without a probe, nobody would see the overload of a server that nobody reports on.
+        # If nobody reports on a server, its overload would go unnoticed without a probe.
         return server.zone == settings.zone or bool(server.connections and is_unreported)
 
     def probe_interval(self, now: float, server: Server) -> float:
-        """Returns the seconds to the server's next probe."""
+        """Returns the seconds until the server's next probe."""
         usual_rate_from = max(
             server.slow_until, self.endpoints.first_list_at + INITIAL_PERIODS * REPORT_PERIOD
         )
         return REPORT_PERIOD * (PROBE_PERIODS if now >= usual_rate_from else 1)
 
     def message_time_reported(self, now: float, server: Server, seconds: float, measured: bool) -> None:
-        """Takes in how long messages take at the server: measured here, or reported by it or a peer."""
+        """Handles the message time of a server: measured here, or reported by the server or a peer."""
         self.overload.message_time_reported(now, server, seconds)
         if not measured:
-            # Proxies of a zone that probe at once would wait behind each other, and take that for overload.
+            # Simultaneous probes of the zone's proxies would delay each other, which looks like overload.
             server.message_time_reported_at = now
             wait = self.probe_interval(now, server) * self.context.rng.uniform(*SHARED_WAIT)
             server.next_probe_at = now + wait
@@ -78,7 +79,7 @@
             self.context.host.report_message_time(server, seconds)
 
     def is_worth_reporting(self, now: float, server: Server) -> bool:
-        """Returns whether peers are told what this proxy has measured."""
+        """Returns whether this proxy should report its measurement to peers."""
         settings = self.context.settings
         if not settings.may_message_peers:
             return False
--- a/brambleplank/decisions/history.py
+++ b/brambleplank/decisions/history.py
@@ -1,4 +1,4 @@
-"""What one proxy's balancer has learnt, as the next process of the proxy goes on with it."""
+"""What a balancer has learned, handed on to the next process of its proxy."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True)
 class BalancerHistory:
-    """What is learnt over all servers together; times in seconds."""
+    """State learned over all servers; times in seconds."""
 
-    usual_response_time: float  # from an attempt to its answer
-    first_list_at: float  # below 0: no list has come
-    served: float  # connections that ended well, decaying
-    served_at: float  # when they were counted last
-    concurrency_limit: float  # attempts out at once
+    usual_response_time: float  # from sending an attempt to its answer
+    first_list_at: float  # negative: no list received
+    served: float  # decaying count of connections that ended normally
+    served_at: float  # time of the newest of them
+    concurrency_limit: float  # concurrent attempts
--- a/brambleplank/decisions/idempotency.py
+++ b/brambleplank/decisions/idempotency.py
@@ -1,4 +1,4 @@
-"""No effect twice: where a request may go once an attempt of it may have run."""
+"""Keeps a request from taking effect twice, once an attempt of it may have run."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class IdempotencyStage(Stage):
-    """Excludes servers at which a request could run a second time."""
+    """Excludes servers at which a request could take effect a second time."""
 
     def excludes(self, now: float, request: Request, server: Server) -> bool:
         """Returns whether the server would not recognize a repeat of the request."""
@@ -18,7 +18,7 @@
             return False
         if traffic_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return True
-        # The request is written when the connection is up, which may be this much later.
+        # The request is written once the connection is established, which may take until then.
         latest_write = now + self.settings.connect_timeout + self.context.deadline_margin
         if latest_write >= first.sent + traffic_class.deduplication_window:
             return True
@@ -29,7 +29,7 @@
         return server.cell != first.server.cell
 
     def penalty(self, _now: float, request: Request, server: Server) -> Penalty:
-        """Prefers servers that the request has not tried."""
+        """Penalizes servers at which the request has already been attempted."""
         if any(attempt.server is server for attempt in request.attempts):
             return Penalty.FULL
         return Penalty.NONE
--- a/brambleplank/decisions/interface.py
+++ b/brambleplank/decisions/interface.py
@@ -1,9 +1,10 @@
-"""The interface between the decisions and whatever carries them.
+"""The interface between the decisions and their host.
 
-A host (the simulator's wire, or a proxy's sockets) makes one `Balancer` for each proxy and calls it; the
-balancer calls out through `Host`. All times are seconds with fractions, `now` included. Requests and servers
-are objects on both sides: the host keeps whatever ids its protocol has, and hands over the one id that
-decides something, the server's, in the endpoint list. Each call in carries `now`; calls out take effect then.
+A host (the simulator adapter, or a proxy on sockets) creates one `Balancer` for each proxy and calls its
+methods; the balancer calls back through `Host`. All times are floating-point seconds, including `now`, which
+each call to the balancer passes; calls to the host take effect at that time. Both sides refer to requests and
+servers by object. The host keeps the ids of its protocol, except for server ids, which affect decisions and
+are passed in the endpoint list.
 """
 
 from __future__ import annotations
@@ -13,40 +14,40 @@
 
 from brambleplank.model import AttemptOutcome, Endpoint, Settings, TrafficClass
 
-RequestT = TypeVar("RequestT")  # the records of the decisions, which this file does not know
+RequestT = TypeVar("RequestT")  # the records of the decisions, opaque to this module
 RequestT_contra = TypeVar("RequestT_contra", contravariant=True)
 ServerT_contra = TypeVar("ServerT_contra", contravariant=True)
 
 
 class Host(Protocol[RequestT_contra, ServerT_contra]):
-    """Calls out: what the balancer asks its host to do."""
+    """The calls of a balancer to its host."""
 
     def start_attempt(self, request: RequestT_contra, server: ServerT_contra, max_wait: float) -> None:
-        """Tries the request at the server, for so many seconds at most.
+        """Attempts the request at the server, with a timeout of `max_wait` seconds.
 
-        The attempts of a request are numbered from 0 in the order in which they are started.
+        A request's attempts are numbered from 0 in the order in which they are started.
         """
 
     def cancel_attempt(self, request: RequestT_contra, number: int) -> None:
-        """Stops waiting for one attempt."""
+        """Cancels an attempt."""
 
     def reject(self, request: RequestT_contra, retry_after: float) -> None:
-        """Gives the final answer that a retry is harmless, best after so many seconds (0: no advice)."""
+        """Sends the final answer that a retry is harmless, after `retry_after` seconds (0: no advice)."""
 
     def abort(self, request: RequestT_contra) -> None:
-        """Gives a final answer that promises nothing."""
+        """Sends a final answer that does not promise that a retry is harmless."""
 
     def migrate(self, request: RequestT_contra) -> None:
-        """Ends an established session politely; its client reconnects."""
+        """Ends an established session and asks its client to reconnect."""
 
     def follow_endpoints(self) -> None:
-        """Subscribes to the endpoint list, missed changes first."""
+        """Subscribes to the endpoint list, beginning with missed changes."""
 
     def probe(self, server: ServerT_contra) -> None:
-        """Measures how long messages take at the server; the answer is `message_time_reported`."""
+        """Measures the message time of the server, and passes it to `message_time_reported`."""
 
     def report_message_time(self, server: ServerT_contra, seconds: float) -> None:
-        """Reports to all other proxies how long messages take at the server."""
+        """Reports the message time of the server to all other proxies."""
 
     def send_load_report(
         self,
@@ -55,35 +56,35 @@
         recipient: int | None,
         is_aggregate: bool,
     ) -> None:
-        """Reports connections by server to the proxy of that number, or to all.
+        """Sends connections by server to the proxy with the number `recipient`, or to all if it is None.
 
-        A complete report means that there are none at servers that it does not name. An aggregate has those
-        of all proxies.
+        In a complete report, servers that are left out have no connections. An aggregate counts the
+        connections of all proxies.
         """
 
     def send_permit_message(self, server: ServerT_contra, recipient: int, message: int) -> None:
-        """Requests a permit for a server in slow start of the proxy of that number, or answers its request.
+        """Sends a `PermitMessage` about a server in slow start to the proxy with the number `recipient`.
 
-        The message is a `PermitMessage`.
+        It requests a permit, or answers the recipient's request.
         """
 
     def report_group_servers(self, reports: Iterable[tuple[int, ServerT_contra]]) -> None:
-        """Reports to all other proxies where displaced groups are, by their ring positions."""
+        """Reports the servers of displaced groups, by ring position, to all other proxies."""
 
     def free_descriptor_share(self) -> float:
-        """Returns the share of this proxy's descriptors that is free; 1 where none are counted."""
+        """Returns the free share of this proxy's file descriptors; 1 if the host does not count them."""
 
     def call_later(self, delay: float, call: Callable[[float], None]) -> None:
-        """Calls back with the time, once `delay` seconds have passed."""
+        """Calls `call` with the current time after `delay` seconds."""
 
     def log(self, text: str) -> None:
-        """Writes a line for the people on call."""
+        """Writes a line to the operators' log."""
 
 
 class Decisions(Protocol[RequestT, ServerT_contra]):
-    """Calls in: what a host tells a balancer."""
+    """The calls of a host to a balancer."""
 
-    def request_received(  # noqa: PLR0913 - hosts hand over what their protocols have
+    def request_received(  # noqa: PLR0913 - a request has this many attributes
         self,
         now: float,
         handle: Any,
@@ -95,9 +96,9 @@
         reconnecting: bool,
         server: ServerT_contra | None = None,
     ) -> RequestT:
-        """Handles a request that has come; with a server, a session that is already established there.
+        """Handles a new request, or with a server, a session that is already established there.
 
-        The handle is the host's own and comes back on `Request.handle`, untouched, as does `Server.handle`.
+        Only the host uses the handle, which is kept in `Request.handle`; the same goes for `Server.handle`.
         """
 
     def attempt_established(self, now: float, request: RequestT, number: int, delay: float) -> None:
@@ -112,17 +113,17 @@
         delay: float,
         complete: bool,
     ) -> None:
-        """Handles the end of an attempt or its session; complete: nothing more is owed to the client."""
+        """Handles the end of an attempt or its session; complete: the client needs no further answer."""
 
     def client_disconnected(self, now: float, request: RequestT) -> None:
-        """Handles a client that has left."""
+        """Handles a client that has disconnected."""
 
     def message_time_reported(
         self, now: float, server: ServerT_contra, seconds: float, measured: bool = False
     ) -> None:
-        """Takes in how long a message takes at a server: reported by it or another proxy, or measured here.
+        """Handles the message time of a server: measured here, or reported by the server or another proxy.
 
-        Called about once a second while that is long, and once when it no longer is.
+        Called about once per second while the time is long, and once when it no longer is.
         """
 
     def load_report_received(
@@ -133,31 +134,31 @@
         complete: bool,
         is_aggregate: bool = False,
     ) -> None:
-        """Takes in another proxy's connections by server, or the aggregate: all, or what has changed."""
+        """Handles another proxy's connections by server, or the aggregate: all, or the changes only."""
 
     def permit_message_received(self, now: float, peer: Any, server: ServerT_contra, message: int) -> None:
-        """Takes in another proxy's request for a slow-start permit, or its answer (a `PermitMessage`)."""
+        """Handles another proxy's request for a slow-start permit, or its answer (a `PermitMessage`)."""
 
     def group_server_reported(self, now: float, position: int, server: ServerT_contra) -> None:
-        """Takes in where a displaced group is; of its ring position, the first four bytes count."""
+        """Handles a report of a displaced group's server; only the first four bytes of the position count."""
 
     def session_silent(self, now: float, request: RequestT, seconds: float) -> None:
-        """Takes in for how long a session has brought nothing back for what was sent."""
+        """Handles a session whose server has not responded for so many seconds to what was sent."""
 
     def begin_shutdown(self, now: float) -> None:
-        """Begins a planned shutdown, or the drain of this proxy: its sessions are migrated."""
+        """Begins a planned shutdown or a drain of this proxy: its sessions are migrated."""
 
     def update_settings(self, settings: Settings) -> None:
-        """Replaces the settings; a request that is here keeps the traffic class that it came with."""
+        """Replaces the settings; a request received before keeps its traffic class."""
 
     def cancel_shutdown(self, now: float) -> None:
-        """Ends the drain, or calls off the shutdown: what has not been migrated yet stays."""
+        """Cancels the shutdown or drain; sessions that have not been migrated yet stay."""
 
     def migrate_all_from(self, now: float, server: ServerT_contra) -> None:
-        """Migrates the sessions at this server, until a list calls it ready again."""
+        """Migrates all sessions at the server, until it is listed as ready again."""
 
     def endpoints_received(self, now: float, endpoints: list[Endpoint], complete: bool) -> None:
-        """Takes in the endpoint list, or changes to it. A server not in a whole list is removed."""
+        """Applies an endpoint list, or changes to it. A server missing from a complete list is removed."""
 
     def endpoint_list_failed(self, now: float) -> None:
-        """Handles a failure to follow the endpoint list; the list held stays good."""
+        """Handles a failure to follow the endpoint list; the current list stays in use."""
--- a/brambleplank/decisions/load_relief.py
+++ b/brambleplank/decisions/load_relief.py
@@ -1,4 +1,4 @@
-"""Relief of slow servers by migration of sessions away from them."""
+"""Relieves slow servers by migrating sessions to other servers."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 from brambleplank.decisions.server_pool import ServerPool
 from brambleplank.records import Request, Server
 
-RELIEF_SHARE = 1 / 3  # of a server's connections of this proxy, migrated at each report at most
-SHORTAGE_FACTOR = 4  # by how much less is migrated by aggregates in a fleet short of capacity
+RELIEF_SHARE = 1 / 3  # of this proxy's connections at the server, migrated per report at most
+SHORTAGE_FACTOR = 4  # divides that share if the fleet is short of capacity and there is an aggregate
 
 
 class LoadRelief:
-    """Migrates the smallest group off a slow server, and of a large group a part of the excess.
+    """Migrates the smallest group off a slow server, or a part of the excess if that group is large.
 
-    A server with too much stays slow while its connections last, and a group shares its work.
+    An overloaded server stays slow for as long as its connections last. Whole groups are migrated because the
+    members of a group share work.
     """
 
     def __init__(
@@ -29,15 +30,15 @@
     def relieve(self, now: float, server: Server, lateness: float) -> None:
         """Migrates some sessions off the server.
 
-        `lateness` is its message time as a multiple of the shortest objective.
+        `lateness` is its message time relative to the shortest message latency objective.
         """
         if not server.requests_by_group:
             return
-        # A fleet short of capacity would only chase its groups from server to server.
+        # If the fleet is short of capacity, groups would only be moved from one slow server to another.
         if self.shortage.is_short_of_capacity(now) and lateness <= 1:
             return
         sessions = self.sessions_to_migrate(server, lateness)
-        # Hundreds of proxies with a connection each there would otherwise empty it in one second.
+        # Otherwise, hundreds of proxies with one connection each would empty the server within a second.
         share = self.share_to_migrate(now, lateness)
         if self.context.rng.random() * len(sessions) > share * server.connections:
             return
@@ -45,7 +46,7 @@
             self.migration.migrate(session)
 
     def sessions_to_migrate(self, server: Server, lateness: float) -> list[Request]:
-        """Returns the sessions of the server's smallest group, or the newest of a large one."""
+        """Returns the sessions of the server's smallest group, or its newest sessions if it is large."""
         groups = server.requests_by_group
         smallest = min(groups, key=lambda position: (len(groups[position]), position))
         sessions = list(groups[smallest])
@@ -57,7 +58,7 @@
         return sessions[-count:] if count else []
 
     def share_to_migrate(self, now: float, lateness: float) -> float:
-        """Returns the share of this proxy's connections at the server to migrate on average."""
+        """Returns the mean share of this proxy's connections at the server to migrate."""
         has_aggregate = self.server_pool.load_reports.has_aggregate
         is_damped = has_aggregate and self.shortage.is_short_of_capacity(now)
         return min(1.0, lateness) * RELIEF_SHARE / (SHORTAGE_FACTOR if is_damped else 1)
--- a/brambleplank/decisions/load_reports.py
+++ b/brambleplank/decisions/load_reports.py
@@ -1,8 +1,8 @@
-"""Connections by server as proxies report them, and the proxy that adds them up for all.
+"""Load reports between proxies, and their aggregation by an elected aggregator.
 
-If each proxy reported to all others, the cost would grow with the square of their number. So all report to
-one of them, the aggregator, which sends the aggregate to all. As long as there is none, each proxy reports to
-all.
+If each proxy reported to all others, the cost would grow with the square of their number. Therefore all
+report to one of them, the aggregator, which sends the sums to all. As long as there is no aggregator, each
+proxy reports to all.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
 ConnectionsByServer = Iterable[tuple[Server, int]]
 
-MAX_REPORTED = 2**21 - 1  # connections at one server; the most that a report carries
-MIN_AGGREGATE_CHANGE = 1 / 8  # of a server's sum, below which a change waits for the next complete report
-PEER_TIMEOUT_PERIODS = 3  # report periods for which a silent peer still counts
-AGGREGATOR_TIMEOUT_PERIODS = 1.5  # report periods for which a silent aggregator is still relied on
+MAX_REPORTED = 2**21 - 1  # connections at one server; the maximum value in a report
+MIN_AGGREGATE_CHANGE = 1 / 8  # of a server's sum; smaller changes wait for the next complete report
+PEER_TIMEOUT_PERIODS = 3  # report periods after which a silent peer is forgotten
+AGGREGATOR_TIMEOUT_PERIODS = 1.5  # report periods after which a silent aggregator no longer counts as live
 PERIODS_PER_COMPLETE_REPORT = 12
-MAX_GROWTH_FACTOR = 2  # a peer's count at a server is at most this multiple of what this proxy ever held,
-MAX_GROWTH_MARGIN = 16  # plus so many connections
+MAX_GROWTH_FACTOR = 2  # caps a peer's count at a server, as a multiple of the most that this proxy has held,
+MAX_GROWTH_MARGIN = 16  # plus this number of connections
 
 
 class LoadReports:
-    """What this proxy has reported, what peers have, and which proxy is the aggregator."""
+    """Sends and receives load reports, and elects the aggregator."""
 
     def __init__(
         self, context: Context, endpoints: EndpointList, counts: ConnectionCounts, slots: SlowStartSlots
@@ -39,10 +39,10 @@
         self.counts = counts
         self.slots = slots
         self.peers: dict[Any, float] = {}  # when each peer last reported
-        self.reported: dict[Server, int] = {}  # connections, as this proxy last reported them
-        self.aggregator: Any = None  # the number of the proxy that is the aggregator
+        self.reported: dict[Server, int] = {}  # connections, as last reported by this proxy
+        self.aggregator: Any = None  # the aggregator's proxy number
         self.aggregator_seen_at = 0.0
-        self.has_aggregate = False  # whether servers' counts elsewhere come from an aggregate
+        self.has_aggregate = False  # whether connections elsewhere come from an aggregate
         self.complete_report_at = 0.0  # when the next complete report is due
 
     @property
@@ -51,35 +51,35 @@
         return bool(self.aggregator == self.context.settings.proxy_number)
 
     def has_live_aggregator(self, now: float) -> bool:
-        """Returns whether an aggregator has reported lately."""
+        """Returns whether there is an aggregator that has reported recently."""
         live_until = self.aggregator_seen_at + AGGREGATOR_TIMEOUT_PERIODS * REPORT_PERIOD
         return self.aggregator is not None and now < live_until
 
     def wait_for_aggregator(self, now: float) -> None:
-        """Begins to wait for an aggregator, before electing one."""
+        """Starts to wait for the reports of an existing aggregator, before one is elected."""
         self.aggregator_seen_at = now
 
     def run(self, now: float) -> None:
-        """Sends a report and elects an aggregator if need be, once a period."""
+        """Sends a report, elects an aggregator if necessary, and reschedules itself for the next period."""
         try:
             self.report_and_elect(now)
-        finally:  # An exception would otherwise end the reports for good, and nobody would notice.
+        finally:  # Otherwise an exception would silently stop all reports for good.
             pause = REPORT_PERIOD * self.context.rng.uniform(0.75, 1.25)
             self.context.host.call_later(pause, self.run)
 
     def report_and_elect(self, now: float) -> None:
-        """Reports changes, forgets silent peers, and becomes aggregator where none reports."""
+        """Reports changes, forgets silent peers, and becomes the aggregator if none has reported in time."""
         self.report_changes(now)
         for peer, reported_at in list(self.peers.items()):
             if peer != self.aggregator and now > reported_at + PEER_TIMEOUT_PERIODS * REPORT_PERIOD:
                 self.forget_peer(peer)
-        # Drawn anew each time, so that two proxies seldom begin at once.
+        # Random at each call, so that two proxies seldom start an election at the same time.
         election_timeout = PEER_TIMEOUT_PERIODS * REPORT_PERIOD * self.context.rng.uniform(0.5, 1.0)
         if not self.is_aggregator and now > self.aggregator_seen_at + election_timeout:
             self.become_aggregator(now)
 
     def become_aggregator(self, now: float) -> None:
-        """Takes over from an aggregator that reports no more, and has all proxies report to this one."""
+        """Replaces a silent aggregator, and announces this proxy as the aggregator to all."""
         self.forget_peer(self.aggregator)
         self.aggregator = self.context.settings.proxy_number
         self.complete_report_at = now + REPORT_PERIOD / 2
@@ -87,7 +87,7 @@
         self.context.host.send_load_report([], False, None, True)
 
     def report_changes(self, now: float) -> None:
-        """Sends what has changed since the last report; now and then all, as reports may be lost."""
+        """Sends the changes since the last report; periodically a complete report, as some may be lost."""
         complete = now >= self.complete_report_at
         is_aggregator = self.is_aggregator
         counts = self.aggregate() if is_aggregator else self.own_counts()
@@ -107,14 +107,14 @@
         return {server: min(server.connections, MAX_REPORTED) for server in self.endpoints.ready}
 
     def aggregate(self) -> dict[Server, int]:
-        """Returns all proxies' connections by ready server."""
+        """Returns the connections of all proxies by ready server."""
         return {
             server: min(server.connections + server.connections_elsewhere, MAX_REPORTED)
             for server in self.endpoints.ready
         }
 
     def changes(self, counts: Mapping[Server, int]) -> dict[Server, int]:
-        """Returns the counts that differ from those last reported; of an aggregate, by enough to matter."""
+        """Returns the counts that differ from the last report; of an aggregate, by a minimum share."""
         least_change = MIN_AGGREGATE_CHANGE if self.is_aggregator else 0.0
         return {
             server: count
@@ -125,33 +125,33 @@
     def load_report_received(
         self, now: float, peer: Any, counts: ConnectionsByServer, complete: bool, is_aggregate: bool
     ) -> None:
-        """Takes in a peer's report, or the aggregator's."""
+        """Handles a peer's report or the aggregate."""
         if is_aggregate:
             self.aggregate_received(now, peer, dict(counts), complete)
             return
         if self.has_aggregate and self.has_live_aggregator(now):
-            return  # It is in the aggregate, and would count twice.
+            return  # The aggregate includes it, so it would count twice.
         if self.is_aggregator and self.has_live_aggregator(now) and peer not in self.peers:
-            # A proxy that has just started would not know which servers are full.
+            # A proxy that has just started does not know yet which servers are full.
             self.context.host.send_load_report(list(self.aggregate().items()), True, peer, True)
         self.peers[peer] = now
         reported = self.zeroed_counts(peer) if complete else {}
         reported.update(counts)
         for server, count in reported.items():
-            # A confused peer would make sound servers look full; none holds so much more than this proxy.
+            # A faulty peer could make servers look full; no peer holds so much more than this proxy.
             plausible = min(count, MAX_GROWTH_FACTOR * self.counts.max_on_ready + MAX_GROWTH_MARGIN)
             server.connections_elsewhere += plausible - server.connections_by_peer.get(peer, 0)
             server.connections_by_peer[peer] = plausible
 
     def zeroed_counts(self, peer: Any) -> dict[Server, int]:
-        """Returns a count of zero for each server at which the peer had reported any."""
+        """Returns a count of zero for each server that the peer has reported."""
         return {server: 0 for server in self.endpoints.servers.values() if peer in server.connections_by_peer}
 
     def aggregate_received(self, now: float, peer: Any, sums: dict[Server, int], complete: bool) -> None:
-        """Takes in the aggregate, in which this proxy's own connections are counted."""
+        """Handles an aggregate, which includes the connections of this proxy."""
         if peer != self.aggregator:
             if self.has_live_aggregator(now) and peer > self.aggregator:
-                return  # Of two that began at once, the one with the lower number goes on.
+                return  # Of two aggregators, the one with the lower number prevails.
             self.aggregator = peer
             self.complete_report_at = now
         self.aggregator_seen_at = now
@@ -163,8 +163,8 @@
 
     def set_aggregate(self, server: Server, aggregator: Any, total: int) -> None:
         """Sets the server's connections elsewhere from the aggregate."""
-        # What a former process of this proxy holds is in the aggregate as well, and would count twice.
-        # Its key is not a proxy's number.
+        # Connections of another process of this proxy are part of the aggregate, and must not count twice.
+        # Their key is not a proxy number.
         handed_off = {key: n for key, n in server.connections_by_peer.items() if not isinstance(key, int)}
         handed_off_total = sum(handed_off.values())
         server.connections_elsewhere = max(handed_off_total, total - self.reported.get(server, 0))
@@ -174,7 +174,7 @@
         }
 
     def forget_peer(self, peer: Any) -> None:
-        """Drops what the peer reported."""
+        """Removes the connections that the peer has reported."""
         self.has_aggregate = self.has_aggregate and peer != self.aggregator
         self.peers.pop(peer, None)
         for server in self.endpoints.servers.values():
@@ -182,5 +182,5 @@
 
 
 def counts_above_zero(counts: Mapping[Server, int]) -> dict[Server, int]:
-    """Returns the counts without those of zero, which a complete report leaves out."""
+    """Returns the counts without zeros, which a complete report leaves out."""
     return {server: count for server, count in counts.items() if count}
--- a/brambleplank/decisions/overload.py
+++ b/brambleplank/decisions/overload.py
@@ -1,4 +1,4 @@
-"""Detection of overloaded servers: slow messages, or connections that they drop."""
+"""Detection of overloaded servers, by slow messages or dropped connections."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from brambleplank.model import REPORT_PERIOD, AttemptOutcome
 from brambleplank.records import Attempt, Request, Server
 
-SLOW_DIVISOR = 3  # a server is slow from one third of the shortest message objective on
-SLOW_REPORT_LIFETIME = 3 * REPORT_PERIOD  # seconds for which a report of slow messages holds
+SLOW_DIVISOR = 3  # a server is slow if messages take over a third of the shortest message objective
+SLOW_REPORT_LIFETIME = 3 * REPORT_PERIOD  # seconds for which a report of slow messages counts
 DROP_LIKELIHOOD_AT_OWNER = (
     3 / 4
-)  # likelihood that a reconnecting client was dropped or migrated at its owner,
-DROP_LIKELIHOOD_ELSEWHERE = 2 / 4  # or at a given server further round the ring
+)  # probability that a reconnecting client was dropped or migrated by its owner,
+DROP_LIKELIHOOD_ELSEWHERE = 2 / 4  # or by a given server further along the ring
 
 
 class OverloadDetector(Stage):
-    """Penalizes servers that show they have too much.
+    """Penalizes servers that show signs of overload.
 
-    Clients that such a server drops reconnect at once. The ring would place them there again, and the server
-    would drop them again.
+    Clients dropped by such a server reconnect at once. Without a penalty, the ring would place them at the
+    same server, which would drop them again.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self.migration = migration
 
     def penalty(self, now: float, request: Request, server: Server) -> Penalty:
-        """Returns how strongly the server's overload speaks against it; a resumed session goes on there."""
+        """Returns the penalty for the server's overload; none for resumed sessions."""
         if request.resumed:
             return Penalty.NONE
         if now < server.dropping_until:
@@ -56,21 +56,21 @@
         return Penalty.SLOW if is_dropped_there else Penalty.NONE
 
     def drop_likelihood(self, request: Request, server: Server) -> float:
-        """Returns how likely it is that a reconnecting client comes from this server, at another proxy.
+        """Returns the probability that the reconnecting client was at this server through another proxy.
 
-        That proxy dropped or migrated it for a reason that this one is not told.
+        The client was dropped or migrated there, for a reason that this proxy does not know.
         """
         is_owner = server is self.server_pool.ring.owner(request.ring_position)
         likelihood = DROP_LIKELIHOOD_AT_OWNER if is_owner else DROP_LIKELIHOOD_ELSEWHERE
         likelihood *= 1 - 2 / self.settings.proxies
         likelihood *= self.server_pool.endpoints.mean_size / server.size
         if self.settings.probes_endpoints:
-            # That this proxy holds none there says little where it holds few, and its probes say more.
+            # If this proxy has few connections, having none there says little, and its probes say more.
             likelihood *= min(1.0, self.server_pool.counts.mean())
         return likelihood
 
     def message_time_reported(self, now: float, server: Server, seconds: float) -> None:
-        """Takes in how long messages take at the server; relieves it if they are slow."""
+        """Updates the server's overload by its message time, and relieves it if it is slow."""
         objective = self.settings.shortest_message_objective
         if seconds <= objective / SLOW_DIVISOR:
             server.slow_until = min(now, server.slow_until)
@@ -82,16 +82,17 @@
         self.relief.relieve(now, server, seconds / objective)
 
     def session_silent(self, now: float, request: Request, seconds: float) -> None:
-        """Migrates a session whose server has sent nothing for so many seconds, if they are too many.
+        """Migrates a session whose server has been silent for too long.
 
-        A dead machine closes no connection; its clients would wait there for as long as their own last.
+        A dead machine does not close its connections; its clients would otherwise wait for as long as their
+        own connections last.
         """
         if seconds > self.settings.max_session_silence:
             self.mark_dropping(request.attempts[-1].server, now + self.settings.overload_window)
             self.migration.migrate(request)
 
     def attempt_ended(self, now: float, attempt: Attempt, outcome: AttemptOutcome, _delay: float) -> None:
-        """Notes a server that drops an established connection."""
+        """Marks a server that resets an established connection."""
         if not attempt.established or outcome is not AttemptOutcome.RESET:
             return
         if now >= attempt.server.dropping_until:
@@ -100,6 +101,6 @@
         self.mark_dropping(attempt.server, now + lifetime)
 
     def mark_dropping(self, server: Server, until: float) -> None:
-        """Counts the server as one that drops connections until that time."""
+        """Marks the server as dropping connections until that time."""
         server.dropping_until = until
         self.shortage.server_overloaded(until)
--- a/brambleplank/decisions/placement.py
+++ b/brambleplank/decisions/placement.py
@@ -1,4 +1,4 @@
-"""The choice of a server: the owner of the request's ring position, or one further round the ring."""
+"""The choice of a server: the owner of the request's ring position, or another one along the ring."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from brambleplank.model import RejectReason
 from brambleplank.records import Request, Server
 
-BOUND_FACTOR = 2  # a server is full at this multiple of the mean count of connections
-BOUND_MARGIN = 2  # connections that it may have beyond that
-PENALTY_STEP = 1 / 4  # of its share that a server holds too much, for one degree of penalty more
+BOUND_FACTOR = 2  # a server is full at this multiple of the mean number of connections per server,
+BOUND_MARGIN = 2  # plus this number of connections
+PENALTY_STEP = 1 / 4  # excess over a server's share, relative to it, that raises the penalty by one level
 
 
 class Placement(Stage):
-    """The owner of the request's arc, or the next distinct server with the least evidence against it."""
+    """Chooses the owner of the request's ring position, or the next server with the lowest penalty."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self.answers = answers
         self.server_pool = server_pool
         self.shortage = shortage
-        # Only of stages that override them: these are called for each server that a request looks at.
+        # Only of stages that override them: they are called for each candidate server of a request.
         self.exclusions: list[Callable[[float, Request, Server], bool]] = [
             stage.excludes for stage in later_stages if type(stage).excludes is not Stage.excludes
         ]
@@ -42,21 +42,21 @@
             self.penalty,
             *(stage.penalty for stage in later_stages if type(stage).penalty is not Stage.penalty),
         ]
-        self.mean_load = 0.0  # connections on a warm server, as the present request finds it
+        self.mean_load = 0.0  # mean connections per available server, computed anew for each request
 
     def admit(self, now: float, request: Request) -> bool:
-        """Chooses the request's server, or rejects it where all that is left is harmful."""
+        """Chooses the request's target; ends the request if no server is eligible or all are HARMFUL."""
         self.mean_load = self.server_pool.load.mean()
         target = self.choose(now, request)
         if target is None:
-            # Where all that may take it drop connections, one more would drop another.
+            # If all candidates are dropping connections, one more would make them drop another.
             self.answers.reject_or_abort(request, RejectReason.NO_SERVER)
             return False
         request.target = target
         return True
 
     def choose(self, now: float, request: Request) -> Server | None:
-        """Returns the first server without penalty, else the one with the least, else None."""
+        """Returns the first server without penalty, else the one with the lowest; None if all are HARMFUL."""
         target = None
         lowest_penalty = Penalty.HARMFUL
         servers_left = self.max_servers_tried(now, request)
@@ -76,9 +76,10 @@
         return target
 
     def candidates(self, now: float, request: Request) -> Iterator[Server]:
-        """Yields the server of the request's displaced group, if any, then those round the ring.
+        """Yields the server of the request's displaced group, if any, then the servers along the ring.
 
-        Each proxy would otherwise find such a group a server of its own, and every one pays for the group.
+        Otherwise each proxy would place the group at another server, and each of these servers would bear the
+        group's cost.
         """
         group_server = self.server_pool.groups.server_of(now, request.ring_position)
         return chain(
@@ -86,19 +87,20 @@
         )
 
     def max_servers_tried(self, now: float, request: Request) -> float:
-        """Returns how many servers round the ring a request may look at.
+        """Returns the maximum number of servers along the ring to consider for a request.
 
-        Every server that holds any of a group pays for it, and without capacity to spare that costs more.
+        Each server with members of a group bears the group's cost. If the fleet is short of capacity, this
+        outweighs the gain of spreading the group.
         """
         members = self.server_pool.groups.session_counts.get(request.ring_position, 0)
         limit = 1 + members // max(1.0, self.server_pool.counts.mean())
         return limit if self.shortage.is_short_of_capacity(now) else inf
 
     def penalty(self, _now: float, request: Request, server: Server) -> Penalty:
-        """Returns how far the server is over its bound (a consistent hash ring with bounded loads).
+        """Returns a penalty for the server's load above its bound (consistent hashing with bounded loads).
 
-        Reconnecting clients come in waves, and would pile up on the one server that nobody sees overloaded.
-        Their bound is its share by size.
+        Reconnecting clients arrive in waves, and would pile up at the one server not known to be overloaded.
+        Therefore their bound is the server's share by size.
         """
         if request.resumed:
             return Penalty.NONE
@@ -114,5 +116,5 @@
 
 
 def was_tried(request: Request, server: Server) -> bool:
-    """Returns whether an attempt of the request went to the server."""
+    """Returns whether the request has been attempted at the server."""
     return any(attempt.server is server for attempt in request.attempts)
--- a/brambleplank/decisions/recovery_ramp.py
+++ b/brambleplank/decisions/recovery_ramp.py
@@ -1,4 +1,4 @@
-"""A gradual refill of servers that were overloaded."""
+"""A gradual increase of attempts at servers that have recovered from overload."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 from brambleplank.model import REPORT_PERIOD
 from brambleplank.records import Request, Server
 
-DOUBLING_PERIOD = 2 * REPORT_PERIOD  # seconds in which the attempts allowed at a server double
+DOUBLING_PERIOD = 2 * REPORT_PERIOD  # seconds in which the allowed attempts at a server double
 MAX_DOUBLINGS = 64.0
 
 
 class RecoveryRamp(Stage):
-    """Refills a server that is no longer overloaded by steps that double.
+    """Limits attempts at a server that is no longer overloaded; the limit doubles in each period.
 
-    All proxies see its recovery in the same second. If each sent all waiting requests there, the server would
-    drop them soon after.
+    All proxies notice the recovery within the same second. If each of them sent all waiting requests there,
+    the server would soon drop them.
     """
 
     def penalty(self, now: float, request: Request, server: Server) -> Penalty:
-        """Returns whether the server has had as many attempts as its recovery allows so far."""
+        """Returns HARMFUL for a server that has had as many recent attempts as its recovery allows."""
         overloaded_until = max(server.slow_until, server.dropping_until)
         doublings = min(MAX_DOUBLINGS, (now - overloaded_until) / DOUBLING_PERIOD)
         recent = server.recent_attempts.value(now, self.settings.overload_window)
         return Penalty.HARMFUL if recent >= 2**doublings and not request.resumed else Penalty.NONE
 
     def admit(self, now: float, request: Request) -> bool:
-        """Counts the attempt at its server."""
+        """Counts the attempt at the target."""
         request.target.recent_attempts.add(now, self.settings.overload_window)
         return True
--- a/brambleplank/decisions/request_invariants.py
+++ b/brambleplank/decisions/request_invariants.py
@@ -1,12 +1,12 @@
-"""Checks of the rules at each step that cannot be taken back. Free of I/O.
+"""Checks the invariants of requests at each irreversible step. No I/O.
 
-The decisions keep the rules by their own stages. These checks work them out anew from the records, at the
-moment of the step, and know nothing of the stages. Two things come of it:
+The stages of the decisions are meant to ensure these invariants. The checks evaluate them again from the
+records, at the time of the step and independent of the stages. A check that fails is one of these:
 
-- a violation: a step that the decisions asked for, or have taken, against a rule. It is a fault of this
-  program; it is counted and reported, and a step that has not been taken yet is refused;
-- a crossing: between the decision and the step something has changed (the server drains, the window closes).
-  The step is refused, and counted apart.
+- a violation: the decisions requested or took a step that breaks an invariant. This is a bug in this program.
+  It is counted and reported, and a step that has not been taken yet is refused;
+- a crossing: the state has changed between the decision and the step (the server drains, the deduplication
+  window ends). The step is refused, and counted separately.
 """
 
 from __future__ import annotations
@@ -19,56 +19,56 @@
 from brambleplank.model import AttemptOutcome, EndpointStatus, Idempotency, Settings
 from brambleplank.records import Attempt, Request, Server
 
-MAX_STALL = 0.15  # seconds for which this process may be held up between reading its clock and writing
-MAX_ANSWER_DELAY = 0.1  # seconds after its deadline from which a request without an answer is a violation
-FEW_ATTEMPTS = 30  # in an overload window, under which chance weighs more
-MAX_DEVIATIONS_IF_FEW = 3  # standard deviations over the mean that are allowed, and as many attempts more
-MAX_DEVIATIONS = 2  # the same of many attempts
+MAX_STALL = 0.15  # seconds for which this process may stall between reading its clock and writing
+MAX_ANSWER_DELAY = 0.1  # seconds after its deadline at which a request without an answer is a violation
+FEW_ATTEMPTS = 30  # in an overload window; below that, random variation matters more
+MAX_DEVIATIONS_IF_FEW = 3  # allowed standard deviations above the mean, plus as many attempts
+MAX_DEVIATIONS = 2  # the same for many attempts
 NEVER_RAN = frozenset(
     (AttemptOutcome.FULL, AttemptOutcome.UNREACHABLE, AttemptOutcome.ABANDONED, AttemptOutcome.LOCAL_FAULT)
 )
 
 
 class InvariantKind(Enum):
-    """What is guarded."""
+    """The invariants that are checked."""
 
-    # Nothing new to a server that drains, nothing after the answer, one attempt at a time.
+    # No attempts at a draining server, none after the final answer, and one at a time.
     SENDING = "sending"
-    # No effect twice.
+    # No request takes effect twice.
     REPEATING = "repeating"
-    # One final answer, in time, that promises nothing false.
+    # One final answer, in time and without a false promise.
     CLOSING = "closing"
-    # No server in slow start is pushed over.
+    # No server is overloaded in slow start.
     STARTING = "starting"
 
 
 class RequestInvariants:
-    """Counts violations and crossings by rule; `report` writes a line about a violation."""
+    """Counts violations and crossings by kind of invariant; `report` logs a violation."""
 
     def __init__(self, settings: Settings, report: Callable[[str], None]) -> None:
         self.settings = settings
         self.report = report
         self.violations: Counter[InvariantKind] = Counter()
         self.crossings: Counter[InvariantKind] = Counter()
-        self.sent: dict[Server, deque[float]] = {}  # when, in the last overload window; in slow start
+        self.sent: dict[Server, deque[float]] = {}  # times in the last window, by server in slow start
 
     def count_violation(self, rule: InvariantKind, detail: str) -> None:
-        """Counts a violation, and reports it if the count has doubled."""
+        """Counts a violation, and reports it if the count is a power of two."""
         self.violations[rule] += 1
         count = self.violations[rule]
-        if count & (count - 1) == 0:  # the first, the second, the fourth, ...
+        if count & (count - 1) == 0:  # 1, 2, 4, ...
             self.report(f"violation of {rule.value}: {detail}; {count} so far")
 
     def summary(self) -> str:
-        """Returns all counts, for a log line at the end."""
+        """Returns all counts, for a log line at exit."""
         broken = sum(self.violations.values())
         crossed = ", ".join(f"{rule.value} {count}" for rule, count in sorted_counts(self.crossings))
         return f"{broken} violations; crossings: {crossed or 'none'}"
 
-    # Sending and repeating.
+    # SENDING and REPEATING.
 
     def may_start_attempt(self, now: float, name: str, request: Request) -> bool:
-        """Returns whether the newest attempt of a request may begin; the decisions have just asked for it."""
+        """Returns whether the request's newest attempt, as just requested by the decisions, may start."""
         attempt = request.attempts[-1]
         reason = self.reason_not_to_send(now, request, attempt)
         if reason:
@@ -80,7 +80,7 @@
         return not reason
 
     def may_send_request(self, now: float, request: Request, attempt: Attempt) -> bool:
-        """Returns whether the request may be written, now that the attempt's connection is up."""
+        """Returns whether the request may be written, now that the attempt's connection is established."""
         written_by = now + MAX_STALL
         if self.reason_not_to_send(written_by, request, attempt):
             self.crossings[InvariantKind.SENDING] += 1
@@ -91,7 +91,7 @@
         return True
 
     def reason_not_to_send(self, now: float, request: Request, attempt: Attempt) -> str:
-        """Returns why the attempt may not be sent at that time; empty if it may."""
+        """Returns why the attempt must not be sent at that time; empty if it may."""
         server = attempt.server
         if request.answered:
             return "it has its final answer"
@@ -105,7 +105,7 @@
         return ""
 
     def reason_not_to_repeat(self, now: float, request: Request, attempt: Attempt) -> str:
-        """Returns why the attempt might run a second time what has run before; empty if it cannot."""
+        """Returns why the attempt could make the request take effect twice; empty if it cannot."""
         traffic_class = request.traffic_class
         others = [other for other in request.attempts if other is not attempt]
         possible_runs = [other for other in others if other.outcome not in NEVER_RAN]
@@ -120,7 +120,7 @@
             return f"it may have run at {first.server.id}, of another {traffic_class.deduplication_scope}"
         return ""
 
-    # Closing.
+    # CLOSING.
 
     def request_rejected(self, name: str, request: Request) -> None:
         """Checks a reject, which promises the client that a retry is harmless."""
@@ -138,16 +138,16 @@
                 return
 
     def request_unanswered(self, name: str, detail: str) -> None:
-        """Counts a request that has no final answer at its deadline, or at its connection's end."""
+        """Counts a request without a final answer by its deadline, or by the end of its connection."""
         self.count_violation(InvariantKind.CLOSING, f"{name} {detail}")
 
-    # Starting.
+    # STARTING.
 
     def attempt_started(self, now: float, server: Server, sustainable: float) -> None:
         """Checks an attempt of this process at a server in slow start.
 
-        `sustainable` is how many attempts it bears now in an overload window. This process alone must not
-        send more than all proxies may together.
+        `sustainable` is the number of attempts per overload window that the server can currently sustain.
+        This process alone must not exceed the limit for all proxies together.
         """
         if server not in self.sent:
             self.forget_warm_servers(now)
@@ -171,12 +171,12 @@
 
 
 def recognize_repeats(scope: str, one: Server, other: Server) -> bool:
-    """Returns whether both servers drop each other's repeats, in a deduplication scope."""
+    """Returns whether the servers drop each other's repeats, given the deduplication scope."""
     if scope == "all":
         return True
     return one.zone == other.zone if scope == "zone" else one.cell == other.cell
 
 
 def sorted_counts(counts: Counter[InvariantKind]) -> list[tuple[InvariantKind, int]]:
-    """Returns the counts by the rules' names."""
+    """Returns the counts, sorted by name."""
     return sorted(counts.items(), key=lambda item: item[0].value)
--- a/brambleplank/decisions/rotation.py
+++ b/brambleplank/decisions/rotation.py
@@ -1,7 +1,7 @@
-"""Which servers operators have taken out of rotation, kept apart from what lists say. Free of I/O.
+"""Servers that operators have taken out of rotation, kept separately from the endpoint list. No I/O.
 
-Each list passes through it before the decisions see it. A server that is out of rotation is draining for
-them, so nothing new goes there whatever the list says. Times are Unix time in seconds with fractions.
+Each list is filtered here before the decisions get it. A server out of rotation is passed on as draining, so
+that it gets no new requests whatever its listed status. All times are Unix time in floating-point seconds.
 """
 
 from __future__ import annotations
@@ -9,27 +9,27 @@
 from brambleplank.errors import BrambleplankError
 from brambleplank.model import Endpoint, EndpointStatus
 
-MAX_LISTED = 4096  # servers that are remembered, of those that no list has any more
+MAX_LISTED = 4096  # servers that are remembered; beyond that, removed ones are forgotten
 
 
 class UnknownServerError(BrambleplankError, LookupError):
-    """No list has ever named that server."""
+    """The server has never been listed."""
 
-    ADVICE = "look the server's name up in the list that this proxy follows"
+    ADVICE = "look up the server's name in the endpoint list that this proxy follows"
 
 
 class Rotation:
-    """Which servers are out of rotation, since when, and what lists last said of each."""
+    """The servers out of rotation, and the last known endpoint of each server."""
 
     def __init__(self) -> None:
-        # As last listed, the one listed longest ago first; also those that are removed since.
+        # As last listed, least recently listed first; includes servers that have been removed since.
         self.listed: dict[str, Endpoint] = {}
-        self.out_since: dict[str, float] = {}  # since when each server is out of rotation
-        # From when to when each server was out, of those that have returned since.
+        self.out_since: dict[str, float] = {}  # when each server was taken out of rotation
+        # Begin and end of the last time out of rotation, of servers that are back in rotation.
         self.previous_outages: dict[str, tuple[float, float]] = {}
 
     def apply(self, endpoints: list[Endpoint], complete: bool) -> list[Endpoint]:
-        """Returns the list, or changes to it, with the status that operators have given servers."""
+        """Returns the list, or changes to it, with operators' commands applied."""
         if complete:
             self.mark_unlisted_removed({endpoint.id for endpoint in endpoints})
         for endpoint in endpoints:
@@ -39,18 +39,18 @@
         return [self.apply_rotation(endpoint) for endpoint in endpoints]
 
     def mark_unlisted_removed(self, listed_ids: set[str]) -> None:
-        """Notes as removed the servers that a whole list does not name."""
+        """Marks the servers missing from a complete list as removed."""
         for endpoint in list(self.listed.values()):
             if endpoint.id not in listed_ids and endpoint.status is not EndpointStatus.REMOVED:
                 self.record(endpoint._replace(status=EndpointStatus.REMOVED))
 
     def record(self, endpoint: Endpoint) -> None:
-        """Notes what a list says of a server."""
+        """Stores the endpoint as the last known one of its server."""
         self.listed.pop(endpoint.id, None)
         self.listed[endpoint.id] = endpoint
 
     def forget_removed(self) -> None:
-        """Forgets removed servers, longest ago first: where each start has a new name, they would pile up."""
+        """Forgets removed servers, oldest first; they pile up if each start has a new name."""
         removed = [
             endpoint.id
             for endpoint in self.listed.values()
@@ -61,27 +61,28 @@
             self.previous_outages.pop(server_id, None)
 
     def apply_rotation(self, endpoint: Endpoint) -> Endpoint:
-        """Returns the endpoint with the status and start that follow from what operators did."""
+        """Returns the endpoint with operators' commands applied to its status and start time."""
         if endpoint.id in self.out_since and endpoint.status is EndpointStatus.READY:
             return endpoint._replace(status=EndpointStatus.DRAINING)
         if endpoint.id not in self.previous_outages:
             return endpoint
-        # Most likely it was restarted while it was out, and the list says so late. Without its own start,
-        # a burst would push it over. A start after it was taken out, once listed, is that one.
+        # The server was most likely restarted while out of rotation, and its start is listed late. Without
+        # a start time, it would get no slow start, and a burst would overload it. A listed start after it
+        # was taken out is the real one.
         out_since, out_until = self.previous_outages[endpoint.id]
         return endpoint if endpoint.started > out_since else endpoint._replace(started=out_until)
 
     def take_out(self, now: float, server_id: str) -> Endpoint:
-        """Takes the server out of rotation. Returns its endpoint; raises UnlistedError."""
+        """Takes the server out of rotation and returns its endpoint. Raises UnknownServerError."""
         self.require_known(server_id)
         self.out_since.setdefault(server_id, now)
         self.previous_outages.pop(server_id, None)
         return self.current_endpoint(server_id)
 
     def put_back(self, now: float, server_id: str) -> Endpoint:
-        """Returns the server to rotation, however often it was taken out, and returns its endpoint.
+        """Puts the server back into rotation, however often it was taken out, and returns its endpoint.
 
-        Raises UnlistedError.
+        Raises UnknownServerError.
         """
         self.require_known(server_id)
         if server_id in self.out_since:
@@ -89,18 +90,18 @@
         return self.current_endpoint(server_id)
 
     def current_endpoint(self, server_id: str) -> Endpoint:
-        """Returns the server's endpoint as the decisions are to see it."""
+        """Returns the server's endpoint as the decisions get it."""
         return self.apply_rotation(self.listed.get(server_id) or unknown_endpoint(server_id))
 
     def require_known(self, server_id: str) -> None:
-        """Raises UnlistedError for a server that no list and no operator has ever named."""
+        """Raises UnknownServerError for a server that is neither listed nor out of rotation."""
         if server_id not in self.listed and server_id not in self.out_since:
             raise UnknownServerError(server_id)
 
 
 def unknown_endpoint(server_id: str) -> Endpoint:
-    """Returns the endpoint of a server of which no more than its name is known.
+    """Returns the endpoint of a server of which only the name is known.
 
-    It was listed once, or an operator took it out before this process started.
+    An operator took it out of rotation before this process started, and it has not been listed since.
     """
     return Endpoint(server_id, "", 0, EndpointStatus.REMOVED, 1.0, 0.0)
--- a/brambleplank/decisions/server_pool.py
+++ b/brambleplank/decisions/server_pool.py
@@ -1,4 +1,4 @@
-"""What one proxy knows of the servers and of its peers."""
+"""The shared state of one proxy's decisions about servers and peers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class ServerPool:
-    """The owners of what stages decide by. Each part keeps its own state."""
+    """The parts that hold the state the stages decide by."""
 
     endpoints: EndpointList
     ring: HashRing
@@ -28,7 +28,7 @@
     load: ServerLoad
 
     def endpoints_received(self, now: float, endpoints: list[Endpoint], complete: bool) -> None:
-        """Takes in a list, or changes to one, and brings what depends on it up to date."""
+        """Applies an endpoint list, or changes to it, and updates what depends on it."""
         self.endpoints.merge(now, endpoints, complete)
         self.load.refresh(now)
         self.counts.recount_ready()
@@ -36,7 +36,7 @@
 
 
 def create_server_pool(context: Context) -> ServerPool:
-    """Returns the view of a proxy that knows no server yet."""
+    """Returns a server pool without servers."""
     endpoints = EndpointList(context)
     counts = ConnectionCounts(context, endpoints)
     slots = SlowStartSlots(context, endpoints, counts)
--- a/brambleplank/decisions/sessions.py
+++ b/brambleplank/decisions/sessions.py
@@ -1,4 +1,4 @@
-"""What follows when a request is established."""
+"""The handling of established sessions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Sessions:
-    """Counts sessions as members of their groups, and has them reported and migrated if need be."""
+    """Adds sessions to their groups, reports displaced groups, and schedules migrations."""
 
     def __init__(self, server_pool: ServerPool, group_reports: GroupReports, migration: Migration) -> None:
         self.server_pool = server_pool
@@ -17,7 +17,7 @@
         self.migration = migration
 
     def session_established(self, now: float, attempt: Attempt) -> None:
-        """Handles a request whose attempt is established."""
+        """Handles an attempt that was established."""
         attempt.established = True
         request = attempt.request
         is_owner = attempt.server is self.server_pool.ring.owner(request.ring_position)
--- a/brambleplank/decisions/slow_start.py
+++ b/brambleplank/decisions/slow_start.py
@@ -1,4 +1,4 @@
-"""A limit on attempts at servers that have just started, over all proxies together."""
+"""A limit on the attempts of all proxies together at servers in slow start."""
 
 from __future__ import annotations
 
@@ -12,22 +12,23 @@
 from brambleplank.model import PermitMessage
 from brambleplank.records import POINTS_PER_SERVER, DecayingCounter, Request, Server
 
-RANDOM_GRANT_SHARE = 2 / 3  # of the budget, what attempts granted by chance come to on average
-FREQUENT_CHECKS = 1 / 4  # tries of each server in slow start in an overload window
-PERMIT_WAIT_SHARE = 1 / 4  # of the shortest latency objective, for the answer to a permit request
+RANDOM_GRANT_SHARE = 2 / 3  # of the budget; the mean share that is used if attempts are admitted at random
+FREQUENT_CHECKS = 1 / 4  # checks per server in slow start and overload window
+PERMIT_WAIT_SHARE = 1 / 4  # of the shortest latency objective; timeout of a permit request
 
 
 class SlowStartBudget:
-    """How many attempts a server in slow start bears, and how many of them are this proxy's."""
+    """The attempts that a server in slow start can sustain, and the shares of the proxies."""
 
     def __init__(self, context: Context, server_pool: ServerPool) -> None:
         self.context = context
         self.server_pool = server_pool
 
     def tokens(self, now: float, server: Server, proxy_numbers: Iterable[int]) -> int:
-        """Returns how many attempts in this slot the proxies of these numbers have together.
+        """Returns the number of attempts in this slot that the given proxies may send together.
 
-        They are dealt out by number, from the server's own points on, so that equal lists give equal shares.
+        Tokens are dealt out by proxy number, beginning with a proxy derived from the server's points, so that
+        proxies with the same endpoint list agree on the shares.
         """
         first = server.points[self.server_pool.slots.update(now, server) % POINTS_PER_SERVER]
         proxies = self.context.settings.proxies
@@ -35,15 +36,15 @@
         return sum(max(0, ceil((budget - (number + first) % proxies) / proxies)) for number in proxy_numbers)
 
     def budget(self, now: float, server: Server) -> float:
-        """Returns the attempts of all proxies in an overload window. One attempt harms no server."""
+        """Returns the allowed attempts of all proxies per overload window; one is harmless to any server."""
         sustainable = self.sustainable_attempts(now, server)
-        # Any window touches two slots, and tokens are rounded up.
+        # A window may overlap two slots, and tokens are rounded up.
         return max(1.0, min(sustainable, sustainable / 2 + sqrt(sustainable)))
 
     def sustainable_attempts(self, now: float, server: Server) -> float:
-        """Returns the attempts in an overload window that the server bears at its age.
+        """Returns the attempts per overload window that the server can sustain at its age.
 
-        Judged by what warm servers hold and serve.
+        The estimate is based on the connections and the served rate of warm servers.
         """
         settings = self.context.settings
         age = max(0.0, now - server.started)
@@ -56,7 +57,7 @@
         )
 
     def rate_on_warm_servers(self, now: float, server: Server) -> float:
-        """Returns the attempts a second at all warm servers, for the size of this server."""
+        """Returns the attempts per second at all warm servers, scaled to the size of this server."""
         settings = self.context.settings
         proxies_per_report = 1.0
         if not self.server_pool.load_reports.has_aggregate:
@@ -64,7 +65,7 @@
         connections = (
             proxies_per_report * self.server_pool.load.mean() * len(self.server_pool.endpoints.available)
         )
-        # What one proxy serves, taken for what each does, is far off where clients are uneven.
+        # Assuming that each proxy serves as much as this one is far off if clients are unevenly spread.
         proxies_alike = min(
             settings.proxies, max(proxies_per_report, connections) / max(1, self.server_pool.counts.on_ready)
         )
@@ -75,9 +76,9 @@
 
 
 class SlowStart(Stage):
-    """Excludes servers in slow start that have had their budget.
+    """Excludes servers in slow start whose budget is spent.
 
-    Where an aggregator is live, it grants permits for single attempts; otherwise each proxy has a share.
+    A live aggregator grants permits for single attempts; without one, each proxy has a share of the budget.
     """
 
     def __init__(
@@ -87,26 +88,29 @@
         self.place = place
         self.server_pool = server_pool
         self.slow_start_budget = slow_start_budget
-        self.candidate_checks = DecayingCounter()  # how often requests tried any server in slow start
+        self.candidate_checks = DecayingCounter()  # checks of servers in slow start for requests
 
     def is_in_slow_start(self, now: float, server: Server) -> bool:
-        """Returns whether the server has started too lately to bear what others do."""
+        """Returns whether the server started less than the slow-start time ago."""
         return server.started > max(0.0, now - self.settings.slow_start_time)
 
     def update_slot(self, now: float, server: Server) -> int:
-        """Returns the number of the server's present slot; a new one begins with no attempt sent."""
+        """Returns the number of the server's current slot; in a new slot, no attempts have been sent."""
         return self.server_pool.slots.update(now, server)
 
     def sustainable_attempts(self, now: float, server: Server) -> float:
-        """Returns the attempts in an overload window that the server bears at its age."""
+        """Returns the attempts per overload window that the server can sustain at its age."""
         return self.slow_start_budget.sustainable_attempts(now, server)
 
     def budget(self, now: float, server: Server) -> float:
-        """Returns the attempts of all proxies in an overload window."""
+        """Returns the allowed attempts of all proxies per overload window."""
         return self.slow_start_budget.budget(now, server)
 
     def excludes(self, now: float, request: Request, server: Server) -> bool:
-        """Returns whether the server is in slow start, and this request has neither permit nor token."""
+        """Returns whether the server is in slow start, and the request has no permit and cannot get one.
+
+        Without a live aggregator, it is excluded if this proxy has no token left.
+        """
         if not self.is_in_slow_start(now, server) or request.permit_for is server:
             return False
         if self.server_pool.load_reports.has_live_aggregator(now):
@@ -114,33 +118,33 @@
         return not self.has_token(now, server)
 
     def has_token(self, now: float, server: Server) -> bool:
-        """Returns whether this proxy may send one more attempt there, by number or by chance."""
+        """Returns whether this proxy may send another attempt there, by its tokens or at random."""
         tokens = self.slow_start_budget.tokens(now, server, [self.settings.proxy_number])
         self.candidate_checks.add(now, self.settings.overload_window)
         candidate_checks = self.checks_per_server(now)
         if self.settings.aggregates_load or candidate_checks >= FREQUENT_CHECKS:
             return tokens > server.slow_start_sent
-        # Where each server is tried rarely, most tokens dealt by number would expire unused.
+        # If requests for each server are rare, most tokens dealt by proxy number would expire unused.
         sustainable = self.slow_start_budget.sustainable_attempts(now, server)
         share = max(1.0, RANDOM_GRANT_SHARE * sustainable) / self.settings.proxies
-        # One group that moves would otherwise try a single server far oftener, at many proxies at once.
+        # Otherwise a moving group could send far more attempts to a single server, through many proxies.
         return (
             server.slow_start_sent <= share
             and self.context.rng.random() * max(candidate_checks, 2 * share) < share
         )
 
     def checks_per_server(self, now: float) -> float:
-        """Returns how often requests tried each server in slow start in the last overload window."""
+        """Returns the checks per server in slow start in the last overload window."""
         candidate_checks = self.candidate_checks.value(now, self.settings.overload_window)
         return candidate_checks / max(
             1, len(self.server_pool.endpoints.ready) - self.server_pool.endpoints.warm_count
         )
 
     def admit(self, now: float, request: Request) -> bool:
-        """Counts the attempt at a server in slow start, or requests a permit for it."""
+        """Counts an attempt at a server in slow start, or requests a permit for it."""
         server = request.target
         has_permit = request.permit_for is server
-        request.permit_for = None  # It is for one attempt.
+        request.permit_for = None  # A permit is for one attempt.
         if has_permit:
             return True
         if not self.is_in_slow_start(now, server) or not self.server_pool.load_reports.has_live_aggregator(
@@ -152,7 +156,7 @@
         return False
 
     def request_permit(self, now: float, request: Request, server: Server) -> None:
-        """Asks the aggregator whether the request may go to the server; it waits for the answer."""
+        """Requests a permit from the aggregator; the request waits for the answer."""
         request.permit_requested = True
         server.permit_requests[request] = None
         if self.server_pool.load_reports.is_aggregator:
@@ -163,9 +167,9 @@
         self.host.call_later(wait, partial(self.permit_timed_out, server=server, request=request))
 
     def grant_permit(self, now: float, server: Server) -> bool:
-        """Returns whether one more attempt may go there; only the aggregator decides this.
+        """Returns whether another attempt may be sent to the server; called at the aggregator only.
 
-        It has the tokens of all proxies that report to it.
+        The aggregator has the tokens of all proxies that report to it.
         """
         proxy_numbers = [*self.server_pool.load_reports.peers, self.settings.proxy_number]
         is_granted = (
@@ -177,7 +181,7 @@
         return is_granted
 
     def permit_message_received(self, now: float, peer: int, server: Server, message: int) -> None:
-        """Answers a peer's permit request, or takes in the answer to one of this proxy."""
+        """Answers a peer's permit request, or handles the answer to one of this proxy."""
         if message != PermitMessage.REQUEST:
             self.permit_answered(now, server, message != PermitMessage.DENY)
             return
@@ -185,13 +189,13 @@
         self.host.send_permit_message(server, peer, answer)
 
     def permit_answered(self, now: float, server: Server, is_granted: bool) -> None:
-        """Gives the answer to the request that has asked first."""
+        """Applies the answer to the request that has waited longest."""
         request = next(iter(server.permit_requests), None)
         if request is not None:
             self.finish_permit_request(now, server, request, is_granted)
 
     def permit_timed_out(self, now: float, server: Server, request: Request) -> None:
-        """Denies a permit for which no answer has come in time."""
+        """Treats a permit request without a timely answer as denied."""
         if request in server.permit_requests:
             self.finish_permit_request(now, server, request, False)
 
--- a/brambleplank/decisions/stage.py
+++ b/brambleplank/decisions/stage.py
@@ -1,6 +1,6 @@
-"""One stage of the chain that a request passes on its way to a server, and its attempts on their way back."""
+"""The base class of the stages that requests, and outcomes of their attempts, pass."""
 
-# ruff: noqa: ARG002 - the base class has the parameters that its subclasses use
+# ruff: noqa: ARG002 - the parameters are for subclasses
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from brambleplank.model import AttemptOutcome, Settings
 from brambleplank.records import Attempt, Request, Server
 
-Place = Callable[[float, Request], None]  # sends a request down the chain, at a time
+Place = Callable[[float, Request], None]  # passes a request down the chain, at the given time
 
 
 class Penalty(IntEnum):
-    """How strongly evidence speaks against a server. A harmful one gets no request, whatever else is left."""
+    """How strongly evidence speaks against a server. A HARMFUL one gets no request, even as the last one."""
 
     NONE = 0
     FULL = 1
@@ -25,31 +25,31 @@
 
 
 class Stage:
-    """One step of the chain. A method that a stage does not override lets everything pass."""
+    """One step of the chain. Methods that are not overridden let all requests pass."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
 
     @property
     def host(self) -> Host[Request, Server]:
-        """The host that carries the decisions."""
+        """The host of the decisions."""
         return self.context.host
 
     @property
     def settings(self) -> Settings:
-        """The settings in force."""
+        """The current settings."""
         return self.context.settings
 
     def admit(self, now: float, request: Request) -> bool:
-        """Returns whether the next stage gets the request; if not, this stage has queued or ended it."""
+        """Returns whether to pass the request on; if not, this stage has queued or ended it."""
         return True
 
     def excludes(self, now: float, request: Request, server: Server) -> bool:
-        """Returns whether a rule forbids the server for this request."""
+        """Returns whether a rule excludes the server for this request."""
         return False
 
     def penalty(self, now: float, request: Request, server: Server) -> Penalty:
-        """Returns how strongly evidence speaks against the server for this request."""
+        """Returns the penalty of the server for this request."""
         return Penalty.NONE
 
     def attempt_established(self, now: float, attempt: Attempt, delay: float) -> None:
--- a/brambleplank/decisions/start_times.py
+++ b/brambleplank/decisions/start_times.py
@@ -1,15 +1,16 @@
-"""When servers started, as times of this process's own clock. Free of I/O.
+"""Converts the start times of servers to this process's monotonic clock. No I/O.
 
-Lists have starts in Unix time, by clocks of other machines; this machine's wall clock may be wrong as well,
-and stepped by seconds or by an hour. Taken as they are, a server that has just started may look an hour old,
-and slow start would not bind. So each start is bounded by what can be checked, and the latest bound holds:
+Endpoint lists give start times in Unix time, by the clocks of other machines. Those may be wrong, and so may
+this machine's wall clock, which may also be stepped by seconds or by an hour. Without checks, a server that
+has just started could look an hour old and would get no slow start. Therefore each start is bounded by what
+can be checked, and the latest bound applies:
 
-- the age by this machine's wall clock;
-- the age that the newest start of all lists proves: it was at least that late when it was reported;
-- no start reported now lies before the moment up to which the list was complete without it.
+- its time by this machine's wall clock;
+- its time relative to the newest start in any list, which cannot have been in the future when reported;
+- the time up to which the list was complete without this start.
 
-A start is worked out once, when it is first reported; later steps of any clock do not move it. Only a newer
-start that is reported later may prove that it was longer ago.
+A start is converted once, when it is first reported, and does not change with later clock steps. Only a newer
+start reported later may prove that it was earlier.
 """
 
 from __future__ import annotations
@@ -18,32 +19,32 @@
 
 from brambleplank.model import Endpoint, EndpointStatus
 
-MAX_CLOCK_ERROR = 2 * 3600.0  # seconds; a start that lies further back is old by whatever clock
-MAX_SERVERS = 8192  # servers whose starts are remembered
+MAX_CLOCK_ERROR = 2 * 3600.0  # seconds; a start further back is old whatever the clock errors
+MAX_SERVERS = 8192  # servers whose start times are kept
 
 
 class StartTimes:
-    """The starts that lists have reported, by server."""
+    """The reported start times, by server."""
 
     def __init__(self) -> None:
-        # Each as reported, and on this clock; the one reported longest ago comes first.
+        # As reported, and on this clock; least recently reported first.
         self.starts: dict[str, tuple[float, float]] = {}
-        self.earlier_starts: dict[str, float] = {}  # that the last list has proved to be longer ago
-        self.earliest_starts: dict[str, float] = {}  # that a start can have been, whatever is reported later
-        self.clock_lead = -inf  # seconds by which the lists' clock is before this one, at least
+        self.earlier_starts: dict[str, float] = {}  # starts that the last list has proved to be earlier
+        self.earliest_starts: dict[str, float] = {}  # earliest possible time of each start
+        self.clock_lead = -inf  # seconds by which the lists' clock is ahead of this one, at least
         self.is_first_list = True
-        self.complete_at = -inf  # up to when the list was complete
+        self.complete_at = -inf  # time up to which the list was complete
 
     def list_completed(self, now: float) -> None:
-        """Notes that whatever has started by now has been reported, if it can be known."""
+        """Records that all servers started by now, as far as discovery can know, have been reported."""
         self.complete_at = now
 
     def to_monotonic(
         self, now: float, wall_time: float, endpoints: list[Endpoint], complete: bool, slow_start_time: float
     ) -> list[Endpoint]:
-        """Returns the endpoints of a list, or changes to it, with their starts on this process's clock.
+        """Returns the endpoints of a list, or changes to it, with start times on this process's clock.
 
-        `wall` is the wall clock's time at `now`.
+        `wall_time` is the time of the wall clock at `now`.
         """
         self.earlier_starts = {}
         newest = max((endpoint.started for endpoint in endpoints), default=0.0)
@@ -64,14 +65,14 @@
         return converted
 
     def evict_oldest(self) -> None:
-        """Forgets the starts that were reported longest ago, if there are too many."""
+        """Forgets the least recently reported starts if there are too many."""
         while len(self.starts) > MAX_SERVERS:
             oldest = next(iter(self.starts))
             del self.starts[oldest]
             self.earliest_starts.pop(oldest, None)
 
     def move_proven_starts(self) -> None:
-        """Moves starts that are known now to have been longer ago than could be said before."""
+        """Moves starts that a newer one proves to be earlier than assumed."""
         for server_id, earliest in self.earliest_starts.items():
             reported, monotonic = self.starts[server_id]
             latest_bound = max(earliest, reported - self.clock_lead)
@@ -82,7 +83,7 @@
     def monotonic_start(
         self, now: float, wall_time: float, endpoint: Endpoint, trust_wall_clock: bool
     ) -> float:
-        """Returns one server's start; `trusted`: by the wall clock alone, as nothing else is known."""
+        """Returns one server's start; `trust_wall_clock`: by the wall clock alone, without other bounds."""
         server_id = endpoint.id
         reported = endpoint.started
         previous = self.starts.pop(server_id, None)
@@ -104,11 +105,11 @@
 
     @staticmethod
     def start_by_wall_clock(now: float, wall_time: float, reported: float) -> float:
-        """Returns a start by the wall clock's word on its age."""
+        """Returns a start, with its age taken from the wall clock."""
         return max(0.0, min(now, now - (wall_time - reported)))
 
     def latest_bound(self, now: float, wall_time: float, reported: float) -> float:
-        """Returns the latest bound on a start."""
+        """Returns the latest of the bounds of a start."""
         start_by_wall_clock = self.start_by_wall_clock(now, wall_time, reported)
         if self.complete_at == -inf and wall_time - reported > MAX_CLOCK_ERROR:
             return start_by_wall_clock
@@ -117,9 +118,10 @@
     def is_mostly_unproven(
         self, now: float, wall_time: float, endpoints: list[Endpoint], slow_start_time: float
     ) -> bool:
-        """Returns whether most servers would be in slow start only because a first list proves nothing.
+        """Returns whether most servers would be in slow start only because a first list proves no age.
 
-        A fleet that has started as a whole some minutes ago would be held back by each process that starts.
+        Otherwise each proxy that starts would limit attempts at a fleet whose servers all started at the same
+        time, some minutes ago.
         """
         ready = [endpoint for endpoint in endpoints if endpoint.status is EndpointStatus.READY]
         latest_warm_start = now - slow_start_time
--- a/brambleplank/settings.py
+++ b/brambleplank/settings.py
@@ -26,7 +26,7 @@
 class MalformedError(BrambleplankError):
     """The input does not follow the wire protocol."""
 
-    ADVICE = "start this program by the line that its host's page gives, with a host of the same wire"
+    ADVICE = "start this program with the command on its host's page, from a host of the same wire protocol"
 
 
 def decode_word(meanings: Mapping[Any, MeaningT], word: Any, kind: str) -> MeaningT:
