--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -13,7 +13,7 @@
 from brambleplank.records import Request
 from tests.sample_settings import DECODED_SETTINGS
 
-START = 400_000.0  # seconds; no host promises a clock that starts near zero
+START_TIME = 400_000.0  # seconds; no host promises a clock that starts near zero
 
 
 class HostCall(Enum):
@@ -39,7 +39,7 @@
     peers: Sequence[FakeHost] = ()  # the other proxies of the same fleet
 
     def __init__(self, servers: int = 5, seed: int = 1, **changes: Any) -> None:
-        self.now = START
+        self.now = START_TIME
         self.recorded_calls: list[tuple[HostCall, Any]] = []
         self.descriptor_share = 1.0
         self.timers: list[tuple[float, Callable[[float], None]]] = []
@@ -49,12 +49,16 @@
         )
 
     def receive_endpoints(
-        self, states: dict[str, EndpointStatus], complete: bool = False, started: float = 0.0, zone: str = "a"
+        self,
+        statuses: dict[str, EndpointStatus],
+        complete: bool = False,
+        started: float = 0.0,
+        zone: str = "a",
     ) -> None:
         """Gives the balancer an endpoint list, or changes to it, at this instant."""
         self.balancer.endpoints_received(
             self.now,
-            [Endpoint(name, zone, 0, status, 1.0, started) for name, status in states.items()],
+            [Endpoint(name, zone, 0, status, 1.0, started) for name, status in statuses.items()],
             complete,
         )
 
@@ -127,9 +131,9 @@
         """Records the call."""
         self.recorded_calls.append((HostCall.CANCEL_ATTEMPT, request))
 
-    def reject(self, request: Request, pause: float) -> None:
+    def reject(self, request: Request, retry_after: float) -> None:
         """Records the call."""
-        self.recorded_calls.append((HostCall.REJECT, (request, pause)))
+        self.recorded_calls.append((HostCall.REJECT, (request, retry_after)))
 
     def abort(self, request: Request) -> None:
         """Records the call."""
@@ -149,21 +153,21 @@
 
     def send_load_report(
         self,
-        held: Iterable[tuple[records.Server, int]],
+        connections: Iterable[tuple[records.Server, int]],
         complete: bool,
-        to: int | None,
-        summed: bool,  # noqa: ARG002  the protocol's argument
+        recipient: int | None,
+        is_aggregate: bool,  # noqa: ARG002  the protocol's argument
     ) -> None:
         """Records the call."""
-        self.recorded_calls.append((HostCall.SEND_LOAD_REPORT, (list(held), complete, to)))
+        self.recorded_calls.append((HostCall.SEND_LOAD_REPORT, (list(connections), complete, recipient)))
 
-    def send_permit_message(self, server: records.Server, to: int, word: int) -> None:
+    def send_permit_message(self, server: records.Server, recipient: int, message: int) -> None:
         """Records the call."""
-        self.recorded_calls.append((HostCall.SEND_PERMIT_MESSAGE, (server, to, word)))
+        self.recorded_calls.append((HostCall.SEND_PERMIT_MESSAGE, (server, recipient, message)))
 
-    def report_group_servers(self, homes: Iterable[tuple[int, records.Server]]) -> None:
+    def report_group_servers(self, reports: Iterable[tuple[int, records.Server]]) -> None:
         """Records the call."""
-        self.recorded_calls.append((HostCall.REPORT_GROUP_SERVERS, list(homes)))
+        self.recorded_calls.append((HostCall.REPORT_GROUP_SERVERS, list(reports)))
 
     def free_descriptor_share(self) -> float:
         """Returns what the test has set."""
@@ -191,28 +195,32 @@
             peer.balancer.message_time_reported(peer.now, peer.server(server.id), seconds)
 
     def send_load_report(
-        self, held: Iterable[tuple[records.Server, int]], complete: bool, to: int | None, summed: bool
+        self,
+        connections: Iterable[tuple[records.Server, int]],
+        complete: bool,
+        recipient: int | None,
+        is_aggregate: bool,
     ) -> None:
         """Records the call and gives the report to its receivers."""
-        super().send_load_report(held, complete, to, summed)
+        super().send_load_report(connections, complete, recipient, is_aggregate)
         sender = self.balancer.settings.proxy_number
         for peer in self.peers:
-            if to in (None, peer.balancer.settings.proxy_number):
-                report = [(peer.server(server.id), count) for server, count in held]
-                peer.balancer.load_report_received(peer.now, sender, report, complete, summed)
+            if recipient in (None, peer.balancer.settings.proxy_number):
+                report = [(peer.server(server.id), count) for server, count in connections]
+                peer.balancer.load_report_received(peer.now, sender, report, complete, is_aggregate)
 
-    def send_permit_message(self, server: records.Server, to: int, word: int) -> None:
+    def send_permit_message(self, server: records.Server, recipient: int, message: int) -> None:
         """Gives the message to its receiver."""
         sender = self.balancer.settings.proxy_number
         for peer in self.peers:
-            if to == peer.balancer.settings.proxy_number:
-                peer.balancer.permit_message_received(peer.now, sender, peer.server(server.id), word)
+            if recipient == peer.balancer.settings.proxy_number:
+                peer.balancer.permit_message_received(peer.now, sender, peer.server(server.id), message)
 
-    def report_group_servers(self, homes: Iterable[tuple[int, records.Server]]) -> None:
+    def report_group_servers(self, reports: Iterable[tuple[int, records.Server]]) -> None:
         """Records the call and gives the report to every peer."""
-        super().report_group_servers(homes)
+        super().report_group_servers(reports)
         for peer in self.peers:
-            for position, server in homes:
+            for position, server in reports:
                 peer.balancer.group_server_reported(peer.now, position >> 96 << 96, peer.server(server.id))
 
     def probe(self, server: records.Server) -> None:
@@ -226,8 +234,8 @@
 
 def make_fake_fleet(proxies: int, kind: type[FakeHostT], **changes: Any) -> list[FakeHostT]:
     """Returns so many fake hosts that know each other; peered ones also talk and probe."""
-    talks = kind is PeeredFakeHost
-    settings = {"may_message_peers": talks, "probes_endpoints": talks, **changes}
+    with_peers = kind is PeeredFakeHost
+    settings = {"may_message_peers": with_peers, "probes_endpoints": with_peers, **changes}
     hosts = [kind(proxies=proxies, proxy_number=n, seed=n, **settings) for n in range(proxies)]
     for host in hosts:
         host.peers = [other for other in hosts if other is not host]
--- a/tests/test_affinity_groups.py
+++ b/tests/test_affinity_groups.py
@@ -26,21 +26,23 @@
 
 def test_displaced_group_is_reported_once_and_followed_by_peers() -> None:
     fakes = make_fake_fleet(3, PeeredFakeHost)
-    one, other, third = fakes
-    request = one.request(group=3)
-    one.end_attempt(request, AttemptOutcome.UNREACHABLE)
+    first_proxy, second_proxy, third_proxy = fakes
+    request = first_proxy.request(group=3)
+    first_proxy.end_attempt(request, AttemptOutcome.UNREACHABLE)
     first = request.attempts[0].server.id
-    displaced_to = one.establish(request).attempts[1].server.id
-    one.advance(0.3)
+    displaced_to = first_proxy.establish(request).attempts[1].server.id
+    first_proxy.advance(0.3)
     assert (
         displaced_to != first
-        and other.establish(other.request(group=3)).attempts[0].server.id == displaced_to
+        and second_proxy.establish(second_proxy.request(group=3)).attempts[0].server.id == displaced_to
     )
-    other.advance(0.3)
+    second_proxy.advance(0.3)
     reports = [len(fake.calls(HostCall.REPORT_GROUP_SERVERS)) for fake in fakes]
     assert reports == [1, 0, 0]  # what all know is not reported again
-    third.receive_endpoints({displaced_to: EndpointStatus.DRAINING})
-    assert third.request(group=3).attempts[0].server.id == first
+    third_proxy.receive_endpoints({displaced_to: EndpointStatus.DRAINING})
+    assert third_proxy.request(group=3).attempts[0].server.id == first
     for position in range(5000):
-        third.balancer.group_server_reported(third.now, position << 96, third.balancer.ready_servers[0])
-    assert len(third.balancer.groups.reported) == 4096  # however many a faulty peer reports
+        third_proxy.balancer.group_server_reported(
+            third_proxy.now, position << 96, third_proxy.balancer.ready_servers[0]
+        )
+    assert len(third_proxy.balancer.groups.reported) == 4096  # however many a faulty peer reports
--- a/tests/test_capacity_shortage.py
+++ b/tests/test_capacity_shortage.py
@@ -8,11 +8,13 @@
 
 
 def test_group_is_not_scattered_when_capacity_is_short(fake: FakeHost) -> None:
-    held = [fake.request(group=key, server=server) for key, server in enumerate(fake.balancer.ready_servers)]
-    for request in held[:3]:
+    sessions = [
+        fake.request(group=key, server=server) for key, server in enumerate(fake.balancer.ready_servers)
+    ]
+    for request in sessions[:3]:
         fake.balancer.message_time_reported(fake.now, request.attempts[-1].server, 0.05)
     fake.advance(1.0)
-    overloaded = {request.attempts[0].server for request in held[:3]}
+    overloaded = {request.attempts[0].server for request in sessions[:3]}
     small = next(
         group
         for group in range(99, 999)
@@ -22,19 +24,23 @@
 
 
 def test_server_over_its_objective_gets_nothing_when_capacity_is_short(fake: FakeHost) -> None:
-    held = [fake.request(group=key, server=server) for key, server in enumerate(fake.balancer.ready_servers)]
-    for request in held:
+    sessions = [
+        fake.request(group=key, server=server) for key, server in enumerate(fake.balancer.ready_servers)
+    ]
+    for request in sessions:
         fake.balancer.message_time_reported(fake.now, request.attempts[-1].server, 0.2)
     fake.advance(1.0)
     assert not fake.request().attempts and fake.calls(HostCall.REJECT)
-    for request in held:
+    for request in sessions:
         fake.balancer.message_time_reported(fake.now, request.attempts[-1].server, 0.05)
     assert fake.request(reconnecting=True).attempts
 
 
 def test_failed_attempt_is_retried_elsewhere_when_capacity_is_short(fake: FakeHost) -> None:
-    held = [fake.request(group=key, server=server) for key, server in enumerate(fake.balancer.ready_servers)]
-    for request in held:
+    sessions = [
+        fake.request(group=key, server=server) for key, server in enumerate(fake.balancer.ready_servers)
+    ]
+    for request in sessions:
         fake.balancer.message_time_reported(fake.now, request.attempts[-1].server, 0.05)
     fake.advance(1.0)
     request = fake.request()
@@ -43,10 +49,12 @@
 
 
 def test_servers_in_slow_start_do_not_count_as_capacity(fake: FakeHost) -> None:
-    held = [fake.request(group=key, server=server) for key, server in enumerate(fake.balancer.ready_servers)]
+    sessions = [
+        fake.request(group=key, server=server) for key, server in enumerate(fake.balancer.ready_servers)
+    ]
     fake.receive_endpoints({f"10.1.0.{i}:80": EndpointStatus.READY for i in range(20)}, started=fake.now)
     assert fake.balancer.server_pool.counts.mean() == 1.0
-    for request in held:
+    for request in sessions:
         fake.balancer.message_time_reported(fake.now, request.attempts[-1].server, 0.05)
     fake.advance(1.0)
     assert fake.balancer.chain.shortage.is_short_of_capacity(fake.now)
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -24,14 +24,18 @@
 
 def test_proxies_of_a_zone_share_the_probes() -> None:
     fakes = make_fake_fleet(40, PeeredFakeHost)
-    for part in (8.0, 9.0, 9.0):  # often at first, then steadily; each time the proxy that probed most ends
+    for duration in (
+        8.0,
+        9.0,
+        9.0,
+    ):  # often at first, then steadily; each time the proxy that probed most ends
         for fake in fakes:
             fake.recorded_calls.clear()
-        for _ in range(round(part / 0.02)):
+        for _ in range(round(duration / 0.02)):
             for fake in fakes:
                 fake.advance(0.02)
         probed = [server.id for fake in fakes for server in fake.calls(HostCall.PROBE)]
-        assert len(set(probed)) == 5 and (part == 8.0 or 5 * 2 <= len(probed) <= 5 * 5)
+        assert len(set(probed)) == 5 and (duration == 8.0 or 5 * 2 <= len(probed) <= 5 * 5)
         fakes.remove(max(fakes, key=lambda fake: len(fake.calls(HostCall.PROBE))))
 
 
@@ -40,18 +44,20 @@
     fake.receive_endpoints(
         {"10.0.9.1:80": EndpointStatus.READY, "10.0.9.2:80": EndpointStatus.READY}, zone="b"
     )
-    far = fake.server("10.0.9.1:80")
-    covered = fake.server("10.0.9.2:80")
-    for server in (far, covered):
+    unreported = fake.server("10.0.9.1:80")
+    reported = fake.server("10.0.9.2:80")
+    for server in (unreported, reported):
         fake.request(server=server)
     for _ in range(12):
         fake.advance(1.0)
-        fake.balancer.message_time_reported(fake.now, covered, 0.0)
-    assert far in fake.calls(HostCall.PROBE) and covered not in fake.calls(HostCall.PROBE)
+        fake.balancer.message_time_reported(fake.now, reported, 0.0)
+    assert unreported in fake.calls(HostCall.PROBE) and reported not in fake.calls(HostCall.PROBE)
     reported_before = len(fake.calls(HostCall.REPORT_MESSAGE_TIME))
-    fake.balancer.message_time_reported(fake.now, covered, 0.0, measured=True)
-    fake.balancer.message_time_reported(fake.now, far, 0.0, measured=True)
-    assert [server for server, _ in fake.calls(HostCall.REPORT_MESSAGE_TIME)[reported_before:]] == [far]
+    fake.balancer.message_time_reported(fake.now, reported, 0.0, measured=True)
+    fake.balancer.message_time_reported(fake.now, unreported, 0.0, measured=True)
+    assert [server for server, _ in fake.calls(HostCall.REPORT_MESSAGE_TIME)[reported_before:]] == [
+        unreported
+    ]
 
 
 def test_permissions_to_probe_and_to_report_start_with_a_reload() -> None:
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -18,8 +18,8 @@
 def test_non_idempotent_request_is_retried_only_if_it_never_ran(
     outcome: AttemptOutcome, attempts_sent: int, answer: HostCall
 ) -> None:
-    once = replace(FEED, idempotency=Idempotency.NON_IDEMPOTENT, max_attempts=2)
-    fake = FakeHost(traffic_classes={"feed": once})
+    non_idempotent = replace(FEED, idempotency=Idempotency.NON_IDEMPOTENT, max_attempts=2)
+    fake = FakeHost(traffic_classes={"feed": non_idempotent})
     request = fake.request()
     fake.end_attempt(request, outcome)
     assert len(fake.calls(HostCall.START_ATTEMPT)) == attempts_sent
@@ -29,13 +29,13 @@
 
 
 def test_retry_stays_within_deduplication_scope_and_window() -> None:
-    zoned = replace(
+    zone_scoped = replace(
         FEED,
         idempotency=Idempotency.IDEMPOTENT_IN_GROUP,
         deduplication_scope="zone",
         deduplication_window=1.0,
     )
-    fake = FakeHost(traffic_classes={"feed": zoned})
+    fake = FakeHost(traffic_classes={"feed": zone_scoped})
     request = fake.request()
     fake.receive_endpoints(
         {
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -79,17 +79,19 @@
         fake.peers = [*fake.peers, new]
     advance_together([*remaining, new], 1.5)
     assert new.server(crowded).connections_elsewhere == 11
-    known = remaining[0].server(crowded)
+    crowded_server = remaining[0].server(crowded)
     # A new proxy reports to all.
-    remaining[0].balancer.load_report_received(remaining[0].now, 77, [(known, 9)], True)
-    assert known.connections + known.connections_elsewhere == 11  # what the aggregate has counts once
+    remaining[0].balancer.load_report_received(remaining[0].now, 77, [(crowded_server, 9)], True)
+    assert (
+        crowded_server.connections + crowded_server.connections_elsewhere == 11
+    )  # what the aggregate has counts once
 
 
 def test_lower_number_stays_aggregator_and_grants_from_its_next_slot() -> None:
     fake = FakeHost(proxies=1, proxy_number=8, may_message_peers=True, passes_through=True)
-    for aggregator, known in ((5, 5), (7, 5), (3, 3)):
+    for aggregator, expected in ((5, 5), (7, 5), (3, 3)):
         fake.balancer.load_report_received(fake.now, aggregator, [], False, True)
-        assert fake.balancer.server_pool.load_reports.aggregator == known
+        assert fake.balancer.server_pool.load_reports.aggregator == expected
     # With no other aggregator it becomes one, and cannot know what others have sent before.
     while fake.balancer.server_pool.load_reports.aggregator != 8:
         fake.receive_endpoints({"cold": EndpointStatus.READY}, started=fake.now)
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -12,14 +12,14 @@
 def test_shutdown_migrates_all_sessions_one_by_one_near_its_end(fake: FakeHost) -> None:
     sessions = [fake.establish(fake.request(key)) for key in range(20)]
     fake.balancer.begin_shutdown(fake.now)
-    late = fake.establish(fake.request(99))
+    later = fake.establish(fake.request(99))
     # Other proxies may be down themselves; sessions go on meanwhile.
     fake.advance(DECODED_SETTINGS.shutdown_time * 0.6)
     assert fake.calls(HostCall.MIGRATE) == []
     fake.advance(DECODED_SETTINGS.shutdown_time * 0.2)
     assert 3 < len(fake.calls(HostCall.MIGRATE)) < 18
     fake.advance(DECODED_SETTINGS.shutdown_time * 0.2)
-    assert set(fake.calls(HostCall.MIGRATE)) == {*sessions, late} and not fake.balancer.groups.session_counts
+    assert set(fake.calls(HostCall.MIGRATE)) == {*sessions, later} and not fake.balancer.groups.session_counts
 
 
 def test_silent_session_is_migrated_away_from_its_server(fake: FakeHost) -> None:
@@ -33,11 +33,11 @@
 
 
 def test_open_requests_are_answered_before_the_shutdown_ends(fake: FakeHost) -> None:
-    open_since = fake.request(time_left=4.8)
+    earlier = fake.request(time_left=4.8)
     fake.balancer.begin_shutdown(fake.now)
-    late = fake.request(8, time_left=4.8)
+    later = fake.request(8, time_left=4.8)
     fake.advance(DECODED_SETTINGS.shutdown_time)
-    assert {request for request, _ in fake.calls(HostCall.REJECT)} == {open_since, late}
+    assert {request for request, _ in fake.calls(HostCall.REJECT)} == {earlier, later}
 
 
 def test_request_paused_after_a_local_fault_is_answered_by_the_shutdown() -> None:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -21,10 +21,10 @@
 SERVERS = 40
 SESSIONS = 1000
 STORE_RATE = 120.0  # calls a second that it answers, one after another
-DELAY = 0.03  # seconds of an attempt beside the store's
-SURGE = 360  # sessions that are reset in one instant
-STEP = 1.6  # seconds between the restarts of two tenths of the proxies
-LONGEST_PAUSE = 1.0
+ATTEMPT_DELAY = 0.03  # seconds of an attempt beside the store's
+RESET_SESSIONS = 360  # sessions that are reset in one instant
+RESTART_STEP = 1.6  # seconds between the restarts of two tenths of the proxies
+MAX_RETRY_AFTER = 1.0
 
 
 class Member(PeeredFakeHost):
@@ -33,21 +33,21 @@
     def __init__(self, fleet: SharedStore, number: int, peers: bool) -> None:
         self.fleet = fleet
         self.unanswered: set[Request] = set()
-        kinds = {"feed": replace(FEED, max_attempts=5)}
+        traffic_classes = {"feed": replace(FEED, max_attempts=5)}
         super().__init__(
             servers=SERVERS,
             seed=number,
             proxies=PROXIES,
             proxy_number=number,
-            max_retry_after=LONGEST_PAUSE,
-            traffic_classes=kinds,
+            max_retry_after=MAX_RETRY_AFTER,
+            traffic_classes=traffic_classes,
             may_message_peers=peers,
             probes_endpoints=peers,
         )
 
     def call_later(self, delay: float, call: Callable[[float], None]) -> None:
         balancer = getattr(self, "balancer", None)
-        self.fleet.later(delay, lambda: self.run_timer(balancer, call))
+        self.fleet.schedule(delay, lambda: self.run_timer(balancer, call))
 
     def run_timer(self, balancer: Balancer | None, call: Callable[[float], None]) -> None:
         if balancer in (None, self.balancer):  # else it was restarted since
@@ -58,12 +58,16 @@
         balancer = self.balancer
         number = len(request.attempts) - 1
         self.fleet.attempts.append(self.fleet.now)
-        self.fleet.later(self.fleet.answered_in(), lambda: self.answer(balancer, request, number))
-        self.fleet.later(max_wait, lambda: self.give_up(balancer, request, number, AttemptOutcome.TIMEOUT))
+        self.fleet.schedule(self.fleet.enqueue_call(), lambda: self.answer(balancer, request, number))
+        self.fleet.schedule(
+            max_wait, lambda: self.end_pending(balancer, request, number, AttemptOutcome.TIMEOUT)
+        )
 
     def cancel_attempt(self, request: Request, number: int) -> None:
         balancer = self.balancer
-        self.fleet.later(0.0, lambda: self.give_up(balancer, request, number, AttemptOutcome.CANCELLED))
+        self.fleet.schedule(
+            0.0, lambda: self.end_pending(balancer, request, number, AttemptOutcome.CANCELLED)
+        )
 
     def is_pending(self, balancer: Balancer, request: Request, number: int) -> bool:
         self.now = self.fleet.now
@@ -82,15 +86,15 @@
             self.unanswered.discard(request)
             self.fleet.sessions.append((self, request))
 
-    def give_up(self, balancer: Balancer, request: Request, number: int, outcome: AttemptOutcome) -> None:
+    def end_pending(self, balancer: Balancer, request: Request, number: int, outcome: AttemptOutcome) -> None:
         if self.is_pending(balancer, request, number):
             balancer.attempt_ended(
                 self.now, request, number, outcome, self.now - request.attempts[number].sent, False
             )
 
-    def reject(self, request: Request, pause: float) -> None:
+    def reject(self, request: Request, retry_after: float) -> None:
         self.unanswered.discard(request)
-        self.fleet.reconnect(pause)
+        self.fleet.reconnect(retry_after)
 
     def probe(self, server: records.Server) -> None:
         """Does nothing: the answers would show no overload."""
@@ -102,7 +106,7 @@
     def __init__(self, seed: int, peers: bool) -> None:
         self.now = 400_000.0
         self.rng = Random(seed)
-        self.order = count()
+        self.event_numbers = count()
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.busy_until = 0.0
         self.keys = count()
@@ -112,8 +116,8 @@
         for member in self.members if peers else []:
             member.peers = [other for other in self.members if other is not member]
 
-    def later(self, delay: float, call: Callable[[], None]) -> None:
-        heappush(self.events, (self.now + delay, next(self.order), call))
+    def schedule(self, delay: float, call: Callable[[], None]) -> None:
+        heappush(self.events, (self.now + delay, next(self.event_numbers), call))
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
@@ -122,22 +126,22 @@
             call()
         self.now = until
 
-    def answered_in(self) -> float:
+    def enqueue_call(self) -> float:
         self.busy_until = max(self.busy_until, self.now) + 1 / STORE_RATE
-        return self.busy_until - self.now + DELAY
+        return self.busy_until - self.now + ATTEMPT_DELAY
 
     def arrive_somewhere(self) -> None:
         self.rng.choice(self.members).arrive(next(self.keys))
 
-    def reconnect(self, pause: float) -> None:
+    def reconnect(self, retry_after: float) -> None:
         """Lets a client reconnect; half of them respect the pause that was advised."""
-        respected = pause if self.rng.random() < 0.5 else 0.0
-        self.later(respected + self.rng.uniform(0.02, 0.1), self.arrive_somewhere)
+        delay = retry_after if self.rng.random() < 0.5 else 0.0
+        self.schedule(delay + self.rng.uniform(0.02, 0.1), self.arrive_somewhere)
 
     def establish_sessions(self) -> None:
         """Establishes all sessions before the first fault."""
         for number in range(SESSIONS):
-            self.later(number * 25 / SESSIONS, self.arrive_somewhere)
+            self.schedule(number * 25 / SESSIONS, self.arrive_somewhere)
         self.run(30.0)
         assert len(self.sessions) == SESSIONS
 
@@ -145,7 +149,7 @@
         for member, request in [self.sessions.pop() for _ in range(number)]:
             member.now = self.now
             member.end_attempt(request, AttemptOutcome.RESET)
-            self.later(self.rng.uniform(0.0, 0.5), self.arrive_somewhere)
+            self.schedule(self.rng.uniform(0.0, 0.5), self.arrive_somewhere)
 
     def restart(self, member: Member) -> None:
         """Restarts a proxy: it knows the list alone, and its clients reconnect soon."""
@@ -158,7 +162,7 @@
         ended = [each for each in self.sessions if each[0] is member]
         self.sessions = [each for each in self.sessions if each[0] is not member]
         for _ in [*ended, *member.unanswered]:
-            self.later(self.rng.uniform(0.0, 0.7), self.arrive_somewhere)
+            self.schedule(self.rng.uniform(0.0, 0.7), self.arrive_somewhere)
         member.unanswered.clear()
 
     def restart_all(self) -> list[int]:
@@ -167,7 +171,7 @@
         for tenth in range(10):
             for member in self.members[tenth::10]:
                 self.restart(member)
-            self.run(STEP)
+            self.run(RESTART_STEP)
             established.append(len(self.sessions))
         return established
 
@@ -177,7 +181,7 @@
 def test_attempts_do_not_keep_a_shared_store_late_while_all_restart(seed: int, peers: bool) -> None:
     fleet = SharedStore(seed, peers)
     fleet.establish_sessions()
-    fleet.reset_sessions(SURGE)
+    fleet.reset_sessions(RESET_SESSIONS)
     established = fleet.restart_all()
     # A surge is answered within some seconds; what the restarts move is half of what the store takes.
     assert min(established[4:]) > 0.75 * SESSIONS, established
--- a/tests/test_overload_detection.py
+++ b/tests/test_overload_detection.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("proxies", "probes", "held", "least", "most"),
+    ("proxies", "probes", "connections", "min_skipped", "max_skipped"),
     [
         (200, False, 0, 100, 170),
         (200, True, 10, 100, 170),
@@ -53,16 +53,16 @@
     ],
 )
 def test_reconnecting_request_skips_an_owner_unknown_here(
-    proxies: int, probes: bool, held: int, least: int, most: int
+    proxies: int, probes: bool, connections: int, min_skipped: int, max_skipped: int
 ) -> None:
-    passed = 0
+    skipped = 0
     for seed in range(200):
         fake = FakeHost(proxies=proxies, seed=seed, probes_endpoints=probes)
-        fill_another_server(fake, held)
+        fill_another_server(fake, connections)
         request = fake.request(group=3, reconnecting=True)
         assert fake.balancer.ring.owner(request.ring_position) is not fake.server("10.0.0.9:80")
-        passed += request.attempts[0].server is not fake.balancer.ring.owner(request.ring_position)
-    assert least <= passed <= most
+        skipped += request.attempts[0].server is not fake.balancer.ring.owner(request.ring_position)
+    assert min_skipped <= skipped <= max_skipped
 
 
 def test_reconnecting_requests_prefer_larger_servers() -> None:
@@ -75,12 +75,12 @@
     assert to_large > 120  # two of five servers are large
 
 
-@pytest.mark.parametrize("well_informed", [False, True])
-def test_evidence_holds_longer_where_connections_are_few(fake: FakeHost, well_informed: bool) -> None:
+@pytest.mark.parametrize("has_connections", [False, True])
+def test_evidence_holds_longer_where_connections_are_few(fake: FakeHost, has_connections: bool) -> None:
     request = fake.establish(fake.request(7))
     for key, server in enumerate(fake.balancer.ready_servers):
-        if well_informed:
+        if has_connections:
             fake.request(group=key, server=server)
     fake.balancer.message_time_reported(fake.now, request.attempts[-1].server, 0.05)
     fake.advance(9.0)
-    assert (fake.request(7).attempts[0].server is request.attempts[0].server) is well_informed
+    assert (fake.request(7).attempts[0].server is request.attempts[0].server) is has_connections
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -22,13 +22,15 @@
 
 def test_reconnecting_wave_is_spread_and_new_requests_are_not() -> None:
     fake = FakeHost(servers=4)
-    fresh = {fake.establish(fake.request(group=3)).attempts[0].server for _ in range(4)}
-    returned = [fake.establish(fake.request(group=3, reconnecting=True)).attempts[0].server for _ in range(4)]
-    assert len(fresh) == 1 and not fresh & set(returned)
+    new = {fake.establish(fake.request(group=3)).attempts[0].server for _ in range(4)}
+    reconnected = [
+        fake.establish(fake.request(group=3, reconnecting=True)).attempts[0].server for _ in range(4)
+    ]
+    assert len(new) == 1 and not new & set(reconnected)
 
 
 def test_no_server_takes_much_over_its_share_while_others_are_slow(fake: FakeHost) -> None:
-    *slow, unseen = fake.balancer.ready_servers
+    *slow, unreported = fake.balancer.ready_servers
     for key in range(60):
         for server in slow:
             fake.balancer.message_time_reported(fake.now, server, 0.05)
@@ -37,21 +39,21 @@
             fake.establish(request)
     assert fake.calls(HostCall.REJECT)  # at once, with a pause
     assert (
-        8 <= unseen.connections <= 1.5 * (fake.balancer.server_pool.counts.mean() + 2) + 1
+        8 <= unreported.connections <= 1.5 * (fake.balancer.server_pool.counts.mean() + 2) + 1
         and sum(s.connections for s in slow) >= 8
     )
 
 
 def test_one_server_takes_what_two_have_borne() -> None:
     fake = FakeHost(servers=2)
-    slow, sound = fake.balancer.ready_servers
+    slow, healthy = fake.balancer.ready_servers
     requests = [fake.establish(fake.request(key)) for key in range(60)]
     for key, request in enumerate(request for request in requests if request.attempts[-1].server is slow):
         fake.balancer.message_time_reported(fake.now, slow, 0.05)
         fake.advance(0.1)
         fake.end_attempt(request, AttemptOutcome.RESET, complete=True)
         fake.establish(fake.request(100 + key, reconnecting=True))
-    assert sound.connections > 50 and not fake.calls(HostCall.REJECT)
+    assert healthy.connections > 50 and not fake.calls(HostCall.REJECT)
 
 
 def test_clients_that_change_from_the_process_before_do_not_fill_the_last_server() -> None:
--- a/tests/test_recovery_ramp.py
+++ b/tests/test_recovery_ramp.py
@@ -11,11 +11,11 @@
     request = fake.establish(fake.request())
     fake.balancer.message_time_reported(fake.now, request.attempts[-1].server, 0.2)
     fake.balancer.message_time_reported(fake.now, request.attempts[-1].server, 0.01)
-    taken = []
+    established = []
     for _ in range(3):
-        taken.append(sum(fake.request_and_establish() for _ in range(30)))
+        established.append(sum(fake.request_and_establish() for _ in range(30)))
         fake.advance(4.0)
-    assert taken[0] <= 1 < taken[1] < taken[2] < 30
+    assert established[0] <= 1 < established[1] < established[2] < 30
 
 
 def test_report_of_a_quick_server_starts_no_ramp(fake: FakeHost) -> None:
--- a/tests/test_rotation.py
+++ b/tests/test_rotation.py
@@ -12,10 +12,10 @@
 from brambleplank.model import Endpoint, EndpointStatus
 
 IDS = st.sampled_from("abc")
-LISTED = st.dictionaries(IDS, st.tuples(st.sampled_from(EndpointStatus), st.sampled_from([0.0, 3.0, 90.0])))
+LISTS = st.dictionaries(IDS, st.tuples(st.sampled_from(EndpointStatus), st.sampled_from([0.0, 3.0, 90.0])))
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("list"), LISTED, st.booleans()),
+        st.tuples(st.just("list"), LISTS, st.booleans()),
         st.tuples(st.sampled_from(["out", "back"]), IDS, st.none()),
     ),
     max_size=12,
@@ -33,22 +33,22 @@
     rotation = Rotation()
     out = set()
     known = set()
-    for now, (step, subject, whole) in enumerate(steps, 10):
+    for now, (step, argument, complete) in enumerate(steps, 10):
         if step == "list":
-            known |= set(subject)
+            known |= set(argument)
             returned = rotation.apply(
-                [make_endpoint(name, *listed) for name, listed in subject.items()], whole
+                [make_endpoint(name, *listed) for name, listed in argument.items()], complete
             )
-        elif subject not in known:
+        elif argument not in known:
             with pytest.raises(UnknownServerError):
-                (rotation.take_out if step == "out" else rotation.put_back)(now, subject)
+                (rotation.take_out if step == "out" else rotation.put_back)(now, argument)
             continue
         elif step == "out":
-            out.add(subject)
-            returned = [rotation.take_out(now, subject)]
+            out.add(argument)
+            returned = [rotation.take_out(now, argument)]
         else:
-            out.discard(subject)
-            returned = [rotation.put_back(now, subject)]
+            out.discard(argument)
+            returned = [rotation.put_back(now, argument)]
         assert not [e for e in returned if e[0] in out and e[3] is EndpointStatus.READY]
         assert set(rotation.out_since) == out
 
--- a/tests/test_rule_guard.py
+++ b/tests/test_rule_guard.py
@@ -31,37 +31,39 @@
 """
 
 
-def server(name: str, zone: str = "a", cell: int = 0) -> Server:
-    made = Server(name, NOW - 100.0)
-    made.zone = zone
-    made.cell = cell
-    made.status = EndpointStatus.READY
-    return made
-
-
-def flow(effect: Idempotency, group: str, *tried: tuple[Server, AttemptOutcome | None]) -> Request:
-    kind = TrafficClass(0.3, effect, group, 1.0, 0.1, 1.8, 3)
-    made = Request(None, kind, 7, True, NOW + 1.8, False, False)
-    for number, (where, end) in enumerate(tried):
-        connect = Attempt(made, where, NOW + number * 0.1)
-        connect.outcome = end
-        connect.ended = end is not None
-        made.attempts.append(connect)
-    return made
+def make_server(name: str, zone: str = "a", cell: int = 0) -> Server:
+    record = Server(name, NOW - 100.0)
+    record.zone = zone
+    record.cell = cell
+    record.status = EndpointStatus.READY
+    return record
+
+
+def make_request(
+    idempotency: Idempotency, scope: str, *attempts: tuple[Server, AttemptOutcome | None]
+) -> Request:
+    traffic_class = TrafficClass(0.3, idempotency, scope, 1.0, 0.1, 1.8, 3)
+    record = Request(None, traffic_class, 7, True, NOW + 1.8, False, False)
+    for number, (attempted_server, outcome) in enumerate(attempts):
+        attempt = Attempt(record, attempted_server, NOW + number * 0.1)
+        attempt.outcome = outcome
+        attempt.ended = outcome is not None
+        record.attempts.append(attempt)
+    return record
 
 
 @pytest.fixture
-def guard() -> RequestInvariants:
+def invariants() -> RequestInvariants:
     return RequestInvariants(DECODED_SETTINGS, lambda line: None)
 
 
-ONE = server("s1")
-OTHER = server("s2")
-FAR = server("s3", "b", 1)
+ONE = make_server("s1")
+OTHER = make_server("s2")
+FAR = make_server("s3", "b", 1)
 
 
 @pytest.mark.parametrize(
-    "effect, group, tried, broken",
+    "idempotency, scope, attempts, violated",
     [
         (Idempotency.IDEMPOTENT, "all", ((ONE, AttemptOutcome.TIMEOUT), (OTHER, None)), None),
         (Idempotency.IDEMPOTENT, "all", ((ONE, None), (OTHER, None)), InvariantKind.SENDING),
@@ -101,56 +103,76 @@
     ],
 )
 def test_attempt_against_a_rule_is_refused_and_counted(
-    guard: RequestInvariants, effect: Idempotency, group: str, tried: Any, broken: InvariantKind | None
+    invariants: RequestInvariants,
+    idempotency: Idempotency,
+    scope: str,
+    attempts: Any,
+    violated: InvariantKind | None,
 ) -> None:
-    assert guard.may_start_attempt(NOW + 0.3, "1a", flow(effect, group, *tried)) == (broken is None)
-    assert list(guard.violations) == ([broken] if broken else [])
+    assert invariants.may_start_attempt(NOW + 0.3, "1a", make_request(idempotency, scope, *attempts)) == (
+        violated is None
+    )
+    assert list(invariants.violations) == ([violated] if violated else [])
 
 
-def test_a_window_that_closes_before_an_opening_is_written_is_a_crossing(guard: RequestInvariants) -> None:
-    referenced = flow(Idempotency.IDEMPOTENT_IN_GROUP, "all", (ONE, AttemptOutcome.RESET), (OTHER, None))
-    assert guard.may_start_attempt(NOW + 0.9, "1a", referenced)
-    assert guard.may_send_request(NOW + 0.8, referenced, referenced.attempts[-1])
-    assert not guard.may_send_request(NOW + 1.0 - MAX_STALL, referenced, referenced.attempts[-1])
-    assert not guard.violations and guard.crossings == {InvariantKind.REPEATING: 1}
+def test_a_window_that_closes_before_an_opening_is_written_is_a_crossing(
+    invariants: RequestInvariants,
+) -> None:
+    referenced = make_request(
+        Idempotency.IDEMPOTENT_IN_GROUP, "all", (ONE, AttemptOutcome.RESET), (OTHER, None)
+    )
+    assert invariants.may_start_attempt(NOW + 0.9, "1a", referenced)
+    assert invariants.may_send_request(NOW + 0.8, referenced, referenced.attempts[-1])
+    assert not invariants.may_send_request(NOW + 1.0 - MAX_STALL, referenced, referenced.attempts[-1])
+    assert not invariants.violations and invariants.crossings == {InvariantKind.REPEATING: 1}
 
 
-def test_drain_is_a_crossing_before_the_write_and_a_violation_at_the_dial(guard: RequestInvariants) -> None:
-    drains = server("s4")
-    plain = flow(Idempotency.IDEMPOTENT, "all", (drains, None))
+def test_drain_is_a_crossing_before_the_write_and_a_violation_at_the_dial(
+    invariants: RequestInvariants,
+) -> None:
+    drains = make_server("s4")
+    plain = make_request(Idempotency.IDEMPOTENT, "all", (drains, None))
     drains.status = EndpointStatus.DRAINING
     drains.unready_since = NOW
-    assert guard.may_send_request(NOW + 0.5, plain, plain.attempts[-1])
-    assert not guard.may_send_request(
+    assert invariants.may_send_request(NOW + 0.5, plain, plain.attempts[-1])
+    assert not invariants.may_send_request(
         NOW + DECODED_SETTINGS.drain_grace - MAX_STALL, plain, plain.attempts[-1]
     )
-    assert not guard.may_start_attempt(NOW + DECODED_SETTINGS.drain_grace, "1a", plain)
-    assert guard.crossings == guard.violations == {InvariantKind.SENDING: 1}
+    assert not invariants.may_start_attempt(NOW + DECODED_SETTINGS.drain_grace, "1a", plain)
+    assert invariants.crossings == invariants.violations == {InvariantKind.SENDING: 1}
 
 
-def test_reject_that_promises_too_much_is_counted(guard: RequestInvariants) -> None:
-    guard.request_rejected("1a", flow(Idempotency.NON_IDEMPOTENT, "all", (ONE, AttemptOutcome.FULL)))
-    guard.request_rejected("1b", flow(Idempotency.IDEMPOTENT_IN_GROUP, "all", (ONE, AttemptOutcome.TIMEOUT)))
-    assert not guard.violations
-    guard.request_rejected("1c", flow(Idempotency.NON_IDEMPOTENT, "all", (ONE, AttemptOutcome.TIMEOUT)))
-    guard.request_rejected("1d", flow(Idempotency.IDEMPOTENT_IN_GROUP, "zone", (ONE, AttemptOutcome.ERROR)))
-    assert guard.violations == {InvariantKind.CLOSING: 2}
-    assert guard.summary() == "2 violations; crossings: none"
+def test_reject_that_promises_too_much_is_counted(invariants: RequestInvariants) -> None:
+    invariants.request_rejected(
+        "1a", make_request(Idempotency.NON_IDEMPOTENT, "all", (ONE, AttemptOutcome.FULL))
+    )
+    invariants.request_rejected(
+        "1b", make_request(Idempotency.IDEMPOTENT_IN_GROUP, "all", (ONE, AttemptOutcome.TIMEOUT))
+    )
+    assert not invariants.violations
+    invariants.request_rejected(
+        "1c", make_request(Idempotency.NON_IDEMPOTENT, "all", (ONE, AttemptOutcome.TIMEOUT))
+    )
+    invariants.request_rejected(
+        "1d", make_request(Idempotency.IDEMPOTENT_IN_GROUP, "zone", (ONE, AttemptOutcome.ERROR))
+    )
+    assert invariants.violations == {InvariantKind.CLOSING: 2}
+    assert invariants.summary() == "2 violations; crossings: none"
 
 
-def test_more_than_all_may_send_to_a_server_in_slow_start_is_counted(guard: RequestInvariants) -> None:
-    cold = server("s5")
-    cold.record_restart(NOW - 1.0)
+def test_more_than_all_may_send_to_a_server_in_slow_start_is_counted(invariants: RequestInvariants) -> None:
+    starting = make_server("s5")
+    starting.record_restart(NOW - 1.0)
     for number in range(17):  # 4 + 3 x 2 + 3 in one fall time of 2 s, and 4 later
-        guard.attempt_started(NOW + (number if number < 13 else 40) * 0.1, cold, 4.0)
-    assert not guard.violations
+        invariants.attempt_started(NOW + (number if number < 13 else 40) * 0.1, starting, 4.0)
+    assert not invariants.violations
     for _ in range(10):
-        guard.attempt_started(NOW + 4.0, cold, 4.0)
-    assert guard.violations == {InvariantKind.STARTING: 1}
-    later = server("s6")
+        invariants.attempt_started(NOW + 4.0, starting, 4.0)
+    assert invariants.violations == {InvariantKind.STARTING: 1}
+    later = make_server("s6")
     later.record_restart(NOW + DECODED_SETTINGS.slow_start_time)
-    guard.attempt_started(NOW + DECODED_SETTINGS.slow_start_time, later, 4.0)
-    assert list(guard.sent) == [later]  # the other is warm by now
+    invariants.attempt_started(NOW + DECODED_SETTINGS.slow_start_time, later, 4.0)
+    assert list(invariants.sent) == [later]  # the other is warm by now
 
 
 def test_server_that_drains_while_connecting_gets_no_opening(
@@ -160,8 +182,17 @@
     other = StandIn("UP other")
     limits = {**PLATFORM_SETTINGS["policy_limits"], "connect_timeout_us": 1_500_000}
     rules = {**PLATFORM_SETTINGS["rules"], "stop_sending_within_us": 300_000}
-    kind = {**PLATFORM_SETTINGS["service_types"][0], "setup_target_us": 1_000_000, "deadline_us": 3_000_000}
-    settings = {**PLATFORM_SETTINGS, "policy_limits": limits, "rules": rules, "service_types": [kind]}
+    traffic_class = {
+        **PLATFORM_SETTINGS["service_types"][0],
+        "setup_target_us": 1_000_000,
+        "deadline_us": 3_000_000,
+    }
+    settings = {
+        **PLATFORM_SETTINGS,
+        "policy_limits": limits,
+        "rules": rules,
+        "service_types": [traffic_class],
+    }
     program = start_program(
         endpoint_list(41, True, s0=draining.address), patch=LATE_CONNECTIONS, settings=settings
     )
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -22,14 +22,14 @@
         for key in range(1 + 60 // proxies):
             fake.request(key, server=fake.balancer.ready_servers[key % 5])
         fake.receive_endpoints({"10.0.0.9:80": EndpointStatus.READY}, started=fake.now)
-    cold = fakes[0].server("10.0.0.9:80")
+    starting = fakes[0].server("10.0.0.9:80")
     sent = list[float]()
     for n in range(round(DECODED_SETTINGS.slow_start_time / busy) - 1):
         for fake in fakes:
             fake.advance(busy)
         for m, fake in enumerate(fakes if kind is FakeHost else fakes[n % 10 :: 10]):
-            request = fake.establish(fake.request(group=group_of(fakes[0], cold, 40 * n + m)))
-            sent += [fake.now] if request.attempts[0].server.id == cold.id else []
+            request = fake.establish(fake.request(group=group_of(fakes[0], starting, 40 * n + m)))
+            sent += [fake.now] if request.attempts[0].server.id == starting.id else []
             if kind is FakeHost:
                 fake.end_attempt(request, AttemptOutcome.CANCELLED, complete=True)
     return (
@@ -53,12 +53,12 @@
     return max(sum(at <= other < at + DECODED_SETTINGS.overload_window for other in sent) for at in sent)
 
 
-@pytest.mark.parametrize("how", [(1, 0.2, 1), (3, 0.2, 1), (40, 0.2, 1), (40, 0.2, 5), (40, 2.0, 1)])
-def test_fleet_keeps_to_slow_start_budget(how: tuple[int, float, int]) -> None:
-    sent, warm = attempts_in_slow_start(*how)
+@pytest.mark.parametrize("case", [(1, 0.2, 1), (3, 0.2, 1), (40, 0.2, 1), (40, 0.2, 5), (40, 2.0, 1)])
+def test_fleet_keeps_to_slow_start_budget(case: tuple[int, float, int]) -> None:
+    sent, warm = attempts_in_slow_start(*case)
     # Two slots' tokens lie in the worst window: together what the rule allows.
     assert most_in_a_window(sent) <= min(2 * warm, warm + 2 * warm**0.5 + 2)
-    assert len(sent) > 20 / how[2]  # it gets what it may have, though most attempts are cancelled
+    assert len(sent) > 20 / case[2]  # it gets what it may have, though most attempts are cancelled
 
 
 def test_peers_that_report_share_a_larger_slow_start_budget() -> None:
@@ -74,9 +74,9 @@
         fake.receive_endpoints(
             {"10.0.0.9:80": EndpointStatus.READY}, started=fake.now - DECODED_SETTINGS.slow_start_time / 2
         )
-    cold = fakes[0].server("10.0.0.9:80")
-    at_once = [fake.request(group=group_of(fakes[0], cold, 0)).attempts[0].server.id for fake in fakes]
-    assert 1 <= at_once.count(cold.id) <= DECODED_SETTINGS.overload_factor / 2 * 0.6 * 40 / 5 + 1
+    starting = fakes[0].server("10.0.0.9:80")
+    at_once = [fake.request(group=group_of(fakes[0], starting, 0)).attempts[0].server.id for fake in fakes]
+    assert 1 <= at_once.count(starting.id) <= DECODED_SETTINGS.overload_factor / 2 * 0.6 * 40 / 5 + 1
 
 
 def test_only_server_gets_a_request_in_slow_start() -> None:
@@ -93,38 +93,38 @@
         for key in range(30):
             fake.establish(fake.request(key, group=key, server=fake.balancer.ready_servers[key % 5]))
     advance_together(fakes, 6.0)
-    cold = "10.0.9.9:80"
+    starting = "10.0.9.9:80"
     for fake in fakes:
-        fake.receive_endpoints({cold: EndpointStatus.READY}, started=fake.now - 5.9)
+        fake.receive_endpoints({starting: EndpointStatus.READY}, started=fake.now - 5.9)
     aggregator = next(
         fake
         for fake in fakes
         if fake.balancer.server_pool.load_reports.aggregator == fake.balancer.settings.proxy_number
     )
-    budget = aggregator.balancer.slow_start.budget(aggregator.now, aggregator.server(cold))
+    budget = aggregator.balancer.slow_start.budget(aggregator.now, aggregator.server(starting))
     group, other = [
         g
         for g in range(100, 999)
-        if next(iter(aggregator.balancer.ring.servers_from(place_on_ring(b"group %d" % g)))).id == cold
+        if next(iter(aggregator.balancer.ring.servers_from(place_on_ring(b"group %d" % g)))).id == starting
     ][:2]
     for fake in fakes:  # all proxies together, in one instant
         request = fake.request(group=group)
         if request.attempts:
             fake.establish(request)
-    sent = sum(server.id == cold for fake in fakes for _, server, _ in fake.calls(HostCall.START_ATTEMPT))
+    sent = sum(server.id == starting for fake in fakes for _, server, _ in fake.calls(HostCall.START_ATTEMPT))
     assert sent == ceil(budget) < 60
     for fake in fakes:  # and again as the next slot begins, within one overload window
         fake.advance(0.2)
     for fake in fakes:
         fake.request(group=other)
-    sent = sum(server.id == cold for fake in fakes for _, server, _ in fake.calls(HostCall.START_ATTEMPT))
-    able = 0.2 + 0.8 * 6.1 / DECODED_SETTINGS.slow_start_time
-    usual = aggregator.balancer.server_pool.load.mean()
+    sent = sum(server.id == starting for fake in fakes for _, server, _ in fake.calls(HostCall.START_ATTEMPT))
+    capacity = 0.2 + 0.8 * 6.1 / DECODED_SETTINGS.slow_start_time
+    mean_load = aggregator.balancer.server_pool.load.mean()
     allowed = (
         DECODED_SETTINGS.overload_factor
         * DECODED_SETTINGS.overload_window
-        * able
-        * usual
+        * capacity
+        * mean_load
         / DECODED_SETTINGS.slow_start_time
     )
     assert ceil(budget) < sent <= allowed + 2 * allowed**0.5 + 2
@@ -133,15 +133,15 @@
 def test_request_goes_elsewhere_when_its_permit_request_is_lost() -> None:
     fakes = make_aggregating_fleet(3)
     advance_together(fakes, 6.0)
-    asking = next(
+    requester = next(
         fake
         for fake in fakes
         if fake.balancer.server_pool.load_reports.aggregator != fake.balancer.settings.proxy_number
     )
-    asking.peers = []  # its datagrams are lost
-    for server in asking.balancer.ready_servers:
-        asking.receive_endpoints({server.id: EndpointStatus.READY}, started=asking.now - 1.0)
-    asking.receive_endpoints({"10.0.9.9:80": EndpointStatus.READY})
-    request = asking.request(7, time_left=1.8)
-    asking.advance(DECODED_SETTINGS.traffic_classes["feed"].latency_objective / 2)
+    requester.peers = []  # its datagrams are lost
+    for server in requester.balancer.ready_servers:
+        requester.receive_endpoints({server.id: EndpointStatus.READY}, started=requester.now - 1.0)
+    requester.receive_endpoints({"10.0.9.9:80": EndpointStatus.READY})
+    request = requester.request(7, time_left=1.8)
+    requester.advance(DECODED_SETTINGS.traffic_classes["feed"].latency_objective / 2)
     assert [c.server.id for c in request.attempts] == ["10.0.9.9:80"]
