--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -1,4 +1,4 @@
-"""A fake host of the decisions: it records what they ask for, and its clock is moved by the test."""
+"""A fake host for the decisions: it records their calls, and tests advance its clock."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from brambleplank.records import Request
 from tests.sample_settings import DECODED_SETTINGS
 
-START_TIME = 400_000.0  # seconds; no host promises a clock that starts near zero
+START_TIME = 400_000.0  # seconds; clocks of hosts need not start near zero
 
 
 class HostCall(Enum):
-    """A call that the balancer makes to its host, as a fake host records it."""
+    """A call of the balancer to its host, as recorded by a fake host."""
 
-    START_ATTEMPT = auto()  # request, server, longest wait
+    START_ATTEMPT = auto()  # request, server, max_wait
     CANCEL_ATTEMPT = auto()  # request
-    REJECT = auto()  # request, pause
+    REJECT = auto()  # request, retry_after
     ABORT = auto()  # request
     MIGRATE = auto()  # request
     PROBE = auto()  # server
     REPORT_MESSAGE_TIME = auto()  # server, seconds
-    SEND_LOAD_REPORT = auto()  # connections by server, whether whole, receiver
-    SEND_PERMIT_MESSAGE = auto()  # server, receiver, message
-    REPORT_GROUP_SERVERS = auto()  # ring positions and their servers
+    SEND_LOAD_REPORT = auto()  # connections by server, complete, recipient
+    SEND_PERMIT_MESSAGE = auto()  # server, recipient, message
+    REPORT_GROUP_SERVERS = auto()  # ring positions and servers
     FOLLOW_ENDPOINTS = auto()  # None
     LOG = auto()  # text
 
 
 class FakeHost:
-    """A host without sockets. The balancer's calls are recorded; `advance` runs its timers."""
+    """A host without sockets. It records the balancer's calls; `advance` runs the timers."""
 
     peers: Sequence[FakeHost] = ()  # the other proxies of the same fleet
 
@@ -55,7 +55,7 @@
         started: float = 0.0,
         zone: str = "a",
     ) -> None:
-        """Gives the balancer an endpoint list, or changes to it, at this instant."""
+        """Passes an endpoint list, or changes to it, to the balancer."""
         self.balancer.endpoints_received(
             self.now,
             [Endpoint(name, zone, 0, status, 1.0, started) for name, status in statuses.items()],
@@ -75,7 +75,7 @@
         reconnecting: bool = False,
         server: records.Server | None = None,
     ) -> Request:
-        """Gives the balancer a request of the class `feed`, with so many seconds to its deadline."""
+        """Passes a request of the class `feed` to the balancer, with its deadline in `time_left` seconds."""
         traffic_class = self.balancer.settings.traffic_classes["feed"]
         deadline = self.now + time_left
         return self.balancer.request_received(
@@ -83,12 +83,12 @@
         )
 
     def establish(self, request: Request, delay: float = 0.02) -> Request:
-        """Reports the request's newest attempt as established after so many seconds; returns the request."""
+        """Reports the request's newest attempt as established after `delay` seconds; returns the request."""
         self.balancer.attempt_established(self.now, request, len(request.attempts) - 1, delay)
         return request
 
     def request_and_establish(self) -> bool:
-        """Whether a new request gets an attempt; if so it is established."""
+        """Returns whether a new request gets an attempt, and establishes it."""
         request = self.request()
         return bool(request.attempts and self.establish(request))
 
@@ -99,7 +99,7 @@
         self.balancer.attempt_ended(self.now, request, len(request.attempts) - 1, outcome, delay, complete)
 
     def establish_many(self, count: int, **how: Any) -> list[Request]:
-        """Returns requests of so many keys, 0.1 s apart, each established and ended at once."""
+        """Returns requests with `count` keys, 0.1 s apart, each established and ended immediately."""
         requests = []
         for key in range(count):
             self.advance(0.1)
@@ -108,7 +108,7 @@
         return requests
 
     def advance(self, seconds: float) -> None:
-        """Moves the clock and runs the timers that fall due, in their order."""
+        """Advances the clock, and runs the timers that become due in order of their times."""
         until = self.now + seconds
         while due := [timer for timer in self.timers if timer[0] <= until]:
             first = min(due, key=lambda timer: timer[0])
@@ -118,16 +118,16 @@
         self.now = until
 
     def calls(self, kind: HostCall) -> list[Any]:
-        """Returns the arguments of each recorded call of that kind."""
+        """Returns the arguments of all recorded calls of that kind."""
         return [arguments for recorded, arguments in self.recorded_calls if recorded is kind]
 
-    # What the balancer asks of its host.
+    # Calls of the balancer.
 
     def start_attempt(self, request: Request, server: records.Server, max_wait: float) -> None:
         """Records the call."""
         self.recorded_calls.append((HostCall.START_ATTEMPT, (request, server, max_wait)))
 
-    def cancel_attempt(self, request: Request, number: int) -> None:  # noqa: ARG002  the protocol's argument
+    def cancel_attempt(self, request: Request, number: int) -> None:  # noqa: ARG002  required by the protocol
         """Records the call."""
         self.recorded_calls.append((HostCall.CANCEL_ATTEMPT, request))
 
@@ -156,7 +156,7 @@
         connections: Iterable[tuple[records.Server, int]],
         complete: bool,
         recipient: int | None,
-        is_aggregate: bool,  # noqa: ARG002  the protocol's argument
+        is_aggregate: bool,  # noqa: ARG002  required by the protocol
     ) -> None:
         """Records the call."""
         self.recorded_calls.append((HostCall.SEND_LOAD_REPORT, (list(connections), complete, recipient)))
@@ -170,7 +170,7 @@
         self.recorded_calls.append((HostCall.REPORT_GROUP_SERVERS, list(reports)))
 
     def free_descriptor_share(self) -> float:
-        """Returns what the test has set."""
+        """Returns the share that the test has set."""
         return self.descriptor_share
 
     def follow_endpoints(self) -> None:
@@ -178,7 +178,7 @@
         self.recorded_calls.append((HostCall.FOLLOW_ENDPOINTS, None))
 
     def call_later(self, delay: float, call: Callable[[float], None]) -> None:
-        """Keeps a timer, which `advance` runs."""
+        """Stores a timer for `advance`."""
         self.timers.append((self.now + delay, call))
 
     def log(self, text: str) -> None:
@@ -187,10 +187,10 @@
 
 
 class PeeredFakeHost(FakeHost):
-    """A fake host whose peers receive at once what it reports; its probes find every server well."""
+    """A fake host whose peers receive its messages immediately; its probes are answered without delay."""
 
     def report_message_time(self, server: records.Server, seconds: float) -> None:
-        """Gives the time to every peer."""
+        """Passes the message time to every peer."""
         for peer in self.peers:
             peer.balancer.message_time_reported(peer.now, peer.server(server.id), seconds)
 
@@ -201,7 +201,7 @@
         recipient: int | None,
         is_aggregate: bool,
     ) -> None:
-        """Records the call and gives the report to its receivers."""
+        """Records the call and passes the report to its recipients."""
         super().send_load_report(connections, complete, recipient, is_aggregate)
         sender = self.balancer.settings.proxy_number
         for peer in self.peers:
@@ -210,21 +210,21 @@
                 peer.balancer.load_report_received(peer.now, sender, report, complete, is_aggregate)
 
     def send_permit_message(self, server: records.Server, recipient: int, message: int) -> None:
-        """Gives the message to its receiver."""
+        """Passes the message to its recipient."""
         sender = self.balancer.settings.proxy_number
         for peer in self.peers:
             if recipient == peer.balancer.settings.proxy_number:
                 peer.balancer.permit_message_received(peer.now, sender, peer.server(server.id), message)
 
     def report_group_servers(self, reports: Iterable[tuple[int, records.Server]]) -> None:
-        """Records the call and gives the report to every peer."""
+        """Records the call and passes the report to every peer."""
         super().report_group_servers(reports)
         for peer in self.peers:
             for position, server in reports:
                 peer.balancer.group_server_reported(peer.now, position >> 96 << 96, peer.server(server.id))
 
     def probe(self, server: records.Server) -> None:
-        """Records the call and reports an answer without delay."""
+        """Records the call and reports a message time of zero."""
         super().probe(server)
         self.balancer.message_time_reported(self.now, server, 0.0, measured=True)
 
@@ -233,7 +233,7 @@
 
 
 def make_fake_fleet(proxies: int, kind: type[FakeHostT], **changes: Any) -> list[FakeHostT]:
-    """Returns so many fake hosts that know each other; peered ones also talk and probe."""
+    """Returns `proxies` fake hosts that are each other's peers; peered ones exchange messages and probe."""
     with_peers = kind is PeeredFakeHost
     settings = {"may_message_peers": with_peers, "probes_endpoints": with_peers, **changes}
     hosts = [kind(proxies=proxies, proxy_number=n, seed=n, **settings) for n in range(proxies)]
--- a/tests/sample_settings.py
+++ b/tests/sample_settings.py
@@ -1,4 +1,4 @@
-"""Settings and endpoint lists that tests share: as the platform writes them, and decoded."""
+"""Settings and endpoint lists shared by tests, decoded and in the format of the platform."""
 
 from __future__ import annotations
 
@@ -62,9 +62,9 @@
 
 
 def endpoint_list(seq: int, whole: bool, **hosts: Any) -> dict[str, Any]:
-    """Returns an endpoint list as discovery writes it.
+    """Returns an endpoint list in the format of discovery.
 
-    Each of `hosts` is an address, or an address and a health.
+    Each value of `hosts` is an address, or a tuple of an address and a health.
     """
     entries = []
     for name, value in hosts.items():
--- a/tests/test_affinity_groups.py
+++ b/tests/test_affinity_groups.py
@@ -1,4 +1,4 @@
-"""Requests of one affinity group share a server, also where it is not the owner."""
+"""Requests of an affinity group share a server, even if it is not the owner of the group's ring position."""
 
 from __future__ import annotations
 
@@ -38,11 +38,13 @@
     )
     second_proxy.advance(0.3)
     reports = [len(fake.calls(HostCall.REPORT_GROUP_SERVERS)) for fake in fakes]
-    assert reports == [1, 0, 0]  # what all know is not reported again
+    assert reports == [1, 0, 0]  # a server that has been reported is not reported again
     third_proxy.receive_endpoints({displaced_to: EndpointStatus.DRAINING})
     assert third_proxy.request(group=3).attempts[0].server.id == first
     for position in range(5000):
         third_proxy.balancer.group_server_reported(
             third_proxy.now, position << 96, third_proxy.balancer.ready_servers[0]
         )
-    assert len(third_proxy.balancer.groups.reported) == 4096  # however many a faulty peer reports
+    assert (
+        len(third_proxy.balancer.groups.reported) == 4096
+    )  # the limit holds even if a faulty peer reports more groups
--- a/tests/test_capacity_shortage.py
+++ b/tests/test_capacity_shortage.py
@@ -1,4 +1,4 @@
-"""A fleet in which many servers are overloaded at once."""
+"""A fleet that is short of capacity, with many overloaded servers."""
 
 from __future__ import annotations
 
--- a/tests/test_concurrency_limiter.py
+++ b/tests/test_concurrency_limiter.py
@@ -1,4 +1,4 @@
-"""The limit on attempts out at once."""
+"""The limit on concurrent attempts."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     for request in waiting:
         if request.attempts:
             fake.end_attempt(request, AttemptOutcome.CANCELLED, complete=True)
-    # It opens by attempts that are established.
+    # Established attempts raise the limit again.
     assert fake.request_and_establish() and fake.balancer.concurrency_limiter.limit <= 2
     established = sum(fake.request_and_establish() for _ in range(200))
     assert established > 100 and fake.balancer.concurrency_limiter.limit >= 1
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""How long an attempt may take."""
+"""The timeout of attempts."""
 
 from __future__ import annotations
 
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""Servers that drain."""
+"""Draining servers."""
 
 from __future__ import annotations
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the decisions keep and follow it."""
+"""The endpoint list: retries of failed subscriptions, and removed servers."""
 
 from __future__ import annotations
 
--- a/tests/test_hash_ring.py
+++ b/tests/test_hash_ring.py
@@ -1,4 +1,4 @@
-"""The consistent hash ring that proxies build from lists of servers."""
+"""The consistent hash ring that proxies build from endpoint lists."""
 
 from __future__ import annotations
 
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -17,7 +17,7 @@
     assert sorted(set(probed)) == [f"10.0.0.{i}:80" for i in range(5)] and 20 <= len(probed) <= 30
     fake.balancer.message_time_reported(fake.now, fake.server("10.0.0.3:80"), 0.2, measured=True)
     assert fake.calls(HostCall.REPORT_MESSAGE_TIME) == [(fake.server("10.0.0.3:80"), 0.2)]
-    fake.advance(2.9)  # in the first four seconds they were probed each second
+    fake.advance(2.9)  # in the first four seconds, all were probed once per second
     after = [server.id for server in fake.calls(HostCall.PROBE)][len(probed) :]
     assert 2 <= after.count("10.0.0.3:80") <= 3 and after.count("10.0.0.1:80") <= 1
 
@@ -28,7 +28,7 @@
         8.0,
         9.0,
         9.0,
-    ):  # often at first, then steadily; each time the proxy that probed most ends
+    ):  # more often at first; after each period, the proxy that probed most is removed
         for fake in fakes:
             fake.recorded_calls.clear()
         for _ in range(round(duration / 0.02)):
@@ -64,7 +64,7 @@
     fake = FakeHost(may_message_peers=False)
     fake.advance(3.0)
     assert not fake.calls(HostCall.PROBE) and not fake.calls(HostCall.SEND_LOAD_REPORT)
-    for _ in range(3):  # permitted, denied and permitted again, each loop runs once
+    for _ in range(3):  # each periodic task is started only once, however often it is permitted
         fake.balancer.update_settings(
             replace(DECODED_SETTINGS, may_message_peers=True, probes_endpoints=True)
         )
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""No request runs twice with effect."""
+"""Requests that must not take effect twice."""
 
 from __future__ import annotations
 
--- a/tests/test_load_relief.py
+++ b/tests/test_load_relief.py
@@ -1,4 +1,4 @@
-"""Sessions that are migrated off slow servers."""
+"""Migration of sessions off slow servers."""
 
 from __future__ import annotations
 
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports between proxies and the aggregator that adds them up."""
+"""Load reports between proxies, and the aggregator that sums them up."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
     fake = FakeHost(proxies=40, proxy_number=39, may_message_peers=True, probes_endpoints=True)
     owner = fake.request(group=3).attempts[0].server
     others = [server for server in fake.balancer.ready_servers if server is not owner]
-    for peer in range(39):  # on five servers: "twice the mean plus two" is 18
+    for peer in range(39):  # on five servers, the bound of twice the mean plus two is 18
         fake.balancer.load_report_received(
             fake.now, peer, [(owner if peer < 16 else others[peer % 4], 1)], True
         )
     assert fake.request(group=3).attempts[0].server is owner
-    # A false report makes a server look full at most.
+    # A false report can make a server look full, but not more than that.
     fake.balancer.load_report_received(fake.now, 0, [(owner, 255)], True)
     assert owner.connections_elsewhere < 16 + 20 and fake.request(group=3).attempts[0].server is not owner
     for peer in range(3):
-        fake.balancer.load_report_received(fake.now, peer, [], True)  # restarted, without connections
+        fake.balancer.load_report_received(fake.now, peer, [], True)  # restarted, so it has no connections
     assert fake.request(group=3).attempts[0].server is owner
     fake.receive_endpoints({others[0].id: EndpointStatus.READY}, started=fake.now)
     assert not others[0].connections_elsewhere and owner.connections_elsewhere
@@ -46,7 +46,7 @@
     assert all(f.server(crowded).connections + f.server(crowded).connections_elsewhere == 40 for f in fakes)
     request = fakes[7].request(group=3)
     assert not request.attempts or request.attempts[0].server.id != crowded  # the bound is 18
-    # Once there is an aggregator, each proxy reports to it alone.
+    # Once there is an aggregator, each proxy reports only to it.
     assert sum(to is None for f in fakes for *_, to in f.calls(HostCall.SEND_LOAD_REPORT)) < 40 * 6
 
 
@@ -80,11 +80,11 @@
     advance_together([*remaining, new], 1.5)
     assert new.server(crowded).connections_elsewhere == 11
     crowded_server = remaining[0].server(crowded)
-    # A new proxy reports to all.
+    # A new proxy reports to all proxies.
     remaining[0].balancer.load_report_received(remaining[0].now, 77, [(crowded_server, 9)], True)
     assert (
         crowded_server.connections + crowded_server.connections_elsewhere == 11
-    )  # what the aggregate has counts once
+    )  # connections in the aggregate count once
 
 
 def test_lower_number_stays_aggregator_and_grants_from_its_next_slot() -> None:
@@ -92,7 +92,7 @@
     for aggregator, expected in ((5, 5), (7, 5), (3, 3)):
         fake.balancer.load_report_received(fake.now, aggregator, [], False, True)
         assert fake.balancer.server_pool.load_reports.aggregator == expected
-    # With no other aggregator it becomes one, and cannot know what others have sent before.
+    # Without another aggregator it becomes one; it cannot know what others have sent in the slot.
     while fake.balancer.server_pool.load_reports.aggregator != 8:
         fake.receive_endpoints({"cold": EndpointStatus.READY}, started=fake.now)
         fake.advance(0.1)
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1,4 +1,4 @@
-"""Planned shutdowns, and sessions that are migrated."""
+"""Planned shutdowns and the migration of sessions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     sessions = [fake.establish(fake.request(key)) for key in range(20)]
     fake.balancer.begin_shutdown(fake.now)
     later = fake.establish(fake.request(99))
-    # Other proxies may be down themselves; sessions go on meanwhile.
+    # Sessions continue at first, as other proxies may still be down.
     fake.advance(DECODED_SETTINGS.shutdown_time * 0.6)
     assert fake.calls(HostCall.MIGRATE) == []
     fake.advance(DECODED_SETTINGS.shutdown_time * 0.2)
@@ -45,9 +45,9 @@
     request = fake.request(time_left=30.0)
     for _ in range(12):
         fake.end_attempt(request, AttemptOutcome.LOCAL_FAULT)
-        fake.advance(2.0)  # longer than any pause
+        fake.advance(2.0)  # longer than any retry delay
     assert not request.answered and len(request.attempts) == 13
-    fake.end_attempt(request, AttemptOutcome.LOCAL_FAULT)  # the next attempt waits
+    fake.end_attempt(request, AttemptOutcome.LOCAL_FAULT)  # the next attempt is delayed
     fake.balancer.begin_shutdown(fake.now)
     fake.advance(3.0)
     assert request.answered
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -9,7 +9,7 @@
 
 
 def eject_by_silence(fake: FakeHost, request: Request) -> None:
-    """Lets all attempts at the request's server time out until it is ejected."""
+    """Times out all attempts at the request's server until it is ejected."""
     server = request.attempts[0].server
     fake.end_attempt(request, AttemptOutcome.TIMEOUT, 0.3)
     while not server.trial_attempts:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Whole fleets in virtual time, with servers that share one store: what all do when it is late."""
+"""Fleets in virtual time whose servers share one store: their behaviour when the store is overloaded."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 PROXIES = 200
 SERVERS = 40
 SESSIONS = 1000
-STORE_RATE = 120.0  # calls a second that it answers, one after another
-ATTEMPT_DELAY = 0.03  # seconds of an attempt beside the store's
-RESET_SESSIONS = 360  # sessions that are reset in one instant
-RESTART_STEP = 1.6  # seconds between the restarts of two tenths of the proxies
-MAX_RETRY_AFTER = 1.0
+STORE_RATE = 120.0  # calls per second that the store answers, one after another
+ATTEMPT_DELAY = 0.03  # seconds that an attempt takes in addition to the store's time
+RESET_SESSIONS = 360  # sessions that are reset at the same time
+RESTART_STEP = 1.6  # seconds between the restarts of one tenth of the proxies and the next
+MAX_RETRY_AFTER = 1.0  # seconds
 
 
 class Member(PeeredFakeHost):
-    """One proxy. Attempts are established once the store has answered; given up, their calls stay queued."""
+    """A proxy. An attempt is established when the store answers; if it ends early, its call stays queued."""
 
     def __init__(self, fleet: SharedStore, number: int, peers: bool) -> None:
         self.fleet = fleet
@@ -50,7 +50,7 @@
         self.fleet.schedule(delay, lambda: self.run_timer(balancer, call))
 
     def run_timer(self, balancer: Balancer | None, call: Callable[[float], None]) -> None:
-        if balancer in (None, self.balancer):  # else it was restarted since
+        if balancer in (None, self.balancer):  # otherwise it has been restarted since
             self.now = self.fleet.now
             call(self.now)
 
@@ -97,11 +97,11 @@
         self.fleet.reconnect(retry_after)
 
     def probe(self, server: records.Server) -> None:
-        """Does nothing: the answers would show no overload."""
+        """Does nothing, as the answers would show no overload."""
 
 
 class SharedStore:
-    """A fleet, its clients, and the store, whose queue is served in order whoever still waits."""
+    """A fleet, its clients, and the store, which serves its queue in order, abandoned calls included."""
 
     def __init__(self, seed: int, peers: bool) -> None:
         self.now = 400_000.0
@@ -134,12 +134,12 @@
         self.rng.choice(self.members).arrive(next(self.keys))
 
     def reconnect(self, retry_after: float) -> None:
-        """Lets a client reconnect; half of them respect the pause that was advised."""
+        """Schedules a client's reconnection; half of the clients respect the retry-after."""
         delay = retry_after if self.rng.random() < 0.5 else 0.0
         self.schedule(delay + self.rng.uniform(0.02, 0.1), self.arrive_somewhere)
 
     def establish_sessions(self) -> None:
-        """Establishes all sessions before the first fault."""
+        """Establishes all sessions, before the first fault."""
         for number in range(SESSIONS):
             self.schedule(number * 25 / SESSIONS, self.arrive_somewhere)
         self.run(30.0)
@@ -152,7 +152,7 @@
             self.schedule(self.rng.uniform(0.0, 0.5), self.arrive_somewhere)
 
     def restart(self, member: Member) -> None:
-        """Restarts a proxy: it knows the list alone, and its clients reconnect soon."""
+        """Restarts a proxy: it gets the endpoint list only, and its clients reconnect soon."""
         member.now = self.now
         settings = member.balancer.settings
         member.balancer = Balancer(member, settings, 1000 + settings.proxy_number)
@@ -166,7 +166,7 @@
         member.unanswered.clear()
 
     def restart_all(self) -> list[int]:
-        """Restarts a tenth at a time. Returns how many sessions are established at the end of each step."""
+        """Restarts one tenth of the proxies per step. Returns the established sessions after each step."""
         established = []
         for tenth in range(10):
             for member in self.members[tenth::10]:
@@ -183,7 +183,7 @@
     fleet.establish_sessions()
     fleet.reset_sessions(RESET_SESSIONS)
     established = fleet.restart_all()
-    # A surge is answered within some seconds; what the restarts move is half of what the store takes.
+    # The store recovers from the reset within seconds; the restarts cause half of the load it can take.
     assert min(established[4:]) > 0.75 * SESSIONS, established
     fleet.run(2 * DECODED_SETTINGS.shutdown_time)
     assert len(fleet.sessions) > 0.98 * SESSIONS
--- a/tests/test_overload_detection.py
+++ b/tests/test_overload_detection.py
@@ -1,4 +1,4 @@
-"""Servers whose messages are slow, or that drop connections."""
+"""Detection of servers with slow messages or dropped connections."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def fill_another_server(fake: FakeHost, connections: int) -> None:
-    """Fills one more server with connections of this proxy, which has none at the others."""
+    """Adds a server with connections of this proxy, which has none at the other servers."""
     fake.receive_endpoints({"10.0.0.9:80": EndpointStatus.READY})
     for key in range(connections):
         fake.request(1000 + key, server=fake.server("10.0.0.9:80"))
@@ -72,7 +72,7 @@
         for server in fake.balancer.ready_servers:
             server.size = 4.0 if int(server.id[7]) % 2 else 1.0
         to_large += fake.request(seed, reconnecting=True).attempts[0].server.size > 1
-    assert to_large > 120  # two of five servers are large
+    assert to_large > 120  # by number alone it would be 80: two of five servers are large
 
 
 @pytest.mark.parametrize("has_connections", [False, True])
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Which server a request goes to, by its owner and by bounds on load."""
+"""The placement of requests, by ring owner and by bounds on load."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         fake.advance(0.05)
         if (request := fake.request(key, reconnecting=True)).attempts:
             fake.establish(request)
-    assert fake.calls(HostCall.REJECT)  # at once, with a pause
+    assert fake.calls(HostCall.REJECT)  # immediately, with a retry-after
     assert (
         8 <= unreported.connections <= 1.5 * (fake.balancer.server_pool.counts.mean() + 2) + 1
         and sum(s.connections for s in slow) >= 8
@@ -57,7 +57,8 @@
 
 
 def test_clients_that_change_from_the_process_before_do_not_fill_the_last_server() -> None:
-    # Guards against rejects in an upgrade: the process before counts its clients until its next report.
+    # Requests were rejected during upgrades: until its next report, the previous process still counts clients
+    # that have moved to this one, so the last server looked full.
     fake = FakeHost(servers=2)
     fake.receive_endpoints({"10.0.0.1:80": EndpointStatus.DRAINING})
     proxy: Any = SimpleNamespace(balancer=fake.balancer, clock=SimpleNamespace(now=lambda: fake.now))
@@ -81,4 +82,4 @@
             fake.establish(request)
     assert (
         sum(server.connections for server in fake.balancer.ready_servers) >= 78
-    )  # one may meet all three dead ones
+    )  # one request may meet all three dead servers
--- a/tests/test_recovery_ramp.py
+++ b/tests/test_recovery_ramp.py
@@ -1,4 +1,4 @@
-"""The refill of servers that were overloaded."""
+"""The gradual increase of attempts at servers that have recovered from overload."""
 
 from __future__ import annotations
 
--- a/tests/test_rotation.py
+++ b/tests/test_rotation.py
@@ -1,4 +1,4 @@
-"""Servers that operators have taken out of rotation, over step lists say of them."""
+"""Servers that operators have taken out of rotation, whatever their listed status."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
         == rotation.apply([make_endpoint("s", started=5.0)], False)[0][5]
     )
     assert rotation.apply([make_endpoint("s", started=103.0)], False)[0][5] == 103.0
-    assert rotation.put_back(200.0, "s")[5] == 103.0  # it was not out
+    assert rotation.put_back(200.0, "s")[5] == 103.0  # it was not out of rotation
 
 
 def test_removed_servers_are_forgotten_unless_out_of_rotation() -> None:
--- a/tests/test_rule_guard.py
+++ b/tests/test_rule_guard.py
@@ -1,4 +1,4 @@
-"""The guard of the rules: what it refuses, what it counts, and where the program asks it."""
+"""Invariant checks of requests: what they refuse and count, and where the program calls them."""
 
 from __future__ import annotations
 
@@ -163,7 +163,7 @@
 def test_more_than_all_may_send_to_a_server_in_slow_start_is_counted(invariants: RequestInvariants) -> None:
     starting = make_server("s5")
     starting.record_restart(NOW - 1.0)
-    for number in range(17):  # 4 + 3 x 2 + 3 in one fall time of 2 s, and 4 later
+    for number in range(17):  # 13 = 4 + 3 x sqrt(4) + 3 in one overload window of 2 s, and 4 later
         invariants.attempt_started(NOW + (number if number < 13 else 40) * 0.1, starting, 4.0)
     assert not invariants.violations
     for _ in range(10):
@@ -172,7 +172,7 @@
     later = make_server("s6")
     later.record_restart(NOW + DECODED_SETTINGS.slow_start_time)
     invariants.attempt_started(NOW + DECODED_SETTINGS.slow_start_time, later, 4.0)
-    assert list(invariants.sent) == [later]  # the other is warm by now
+    assert list(invariants.sent) == [later]  # the other server is warm by now
 
 
 def test_server_that_drains_while_connecting_gets_no_opening(
@@ -198,7 +198,7 @@
     )
     _, watch = program.discovery.accept_watch()
     client = program.open_request(deadline_ms=2900)
-    wait_until(lambda: draining.connection_count)  # its side is up; the proxy sees that late
+    wait_until(lambda: draining.connection_count)  # established at the server; the proxy notices that late
     hosts = {"s0": (draining.address, "draining"), "s1": other.address}
     StandInDiscovery.send_text(watch, json.dumps(endpoint_list(42, False, **hosts)))
     assert client.read_line() == "UP other"
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The budget of a server in slow start: what all proxies of a fleet send it together, in virtual time."""
+"""The attempts that all proxies of a fleet send to a server in slow start, in virtual time."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from tests.sample_settings import DECODED_SETTINGS
 
 NEW_SERVER = "10.0.0.9:80"  # the id of the server in slow start
-WARM_SERVERS = 5  # servers
+WARM_SERVERS = 5
 STEP = 0.05  # seconds
-REQUEST_RATE = 30  # requests a second over the fleet
+REQUEST_RATE = 30  # requests per second over the whole fleet
 MEAN_SESSION_TIME = 10.0  # seconds
-FIRST_START = 15.0  # seconds until the server starts
-BURST_AT = 7.2  # seconds after the server's start
+FIRST_START = 15.0  # seconds from the beginning of the test until the server starts
+BURST_AT = 7.2  # seconds after the server's start until a burst begins
 BURST_DURATION = 1.5  # seconds that a burst lasts
-FAIR_SHARE = 0.27  # of what the rule allows without its slack, for 200 proxies with 30 requests a second
-CLIENT_SHARES = (0.4, 0.7, 1.0, 1.0, 1.0, 3.0)  # multiples of the mean that a proxy has of the clients
+FAIR_SHARE = 0.27  # of the limit without its slack, for 200 proxies with 30 requests per second
+CLIENT_SHARES = (0.4, 0.7, 1.0, 1.0, 1.0, 3.0)  # clients of a proxy, relative to the mean
 
 
 class Fleet:
     """Proxies with uneven shares of the clients.
 
-    From the server's start on, all requests belong to it.
+    From its start on, the server owns the keys of all requests.
     """
 
     def __init__(self, proxies: int, kind: type[FakeHost], fault: str, seed: int) -> None:
@@ -49,16 +49,16 @@
         self.started_at = self.fakes[0].now
 
     def is_time(self, seconds: float) -> bool:
-        """Returns whether the clock has just reached that time since the beginning."""
+        """Returns whether the clock has just reached that time, in seconds since the beginning."""
         return bool(abs(self.fakes[0].now - self.started_at - seconds) < STEP / 2)
 
     def aggregator(self) -> Any:
-        """Returns the proxy that is the aggregator, if one is."""
+        """Returns the proxy that is the aggregator, if any."""
         number = self.fakes[-1].balancer.server_pool.load_reports.aggregator
         return next((fake for fake in self.fakes if fake.balancer.settings.proxy_number == number), None)
 
     def cause_faults(self) -> None:
-        """Starts the server, and causes the fault of this fleet when it is due."""
+        """Starts the server, and causes this fleet's fault at its time."""
         restarts = (18.0, 20.5) if self.fault == "restarts" else ()
         if any(self.is_time(when) for when in (FIRST_START, *restarts)):
             self.starts.append(self.fakes[0].now)
@@ -79,7 +79,7 @@
                 self.restart(self.fakes[number])
 
     def restart(self, fake: FakeHost) -> None:
-        """Restarts a proxy, which knows nothing then."""
+        """Restarts a proxy without its state."""
         settings = fake.balancer.settings
         fake.timers = []
         fake.balancer = Balancer(fake, settings, 1000 + settings.proxy_number)
@@ -103,7 +103,7 @@
         while request.active_attempt:
             self.sent += [fake.now] if request.active_attempt.server.id == NEW_SERVER else []
             if self.rng.random() < 0.1:
-                fake.end_attempt(request, AttemptOutcome.FULL)  # it is refused, and retried
+                fake.end_attempt(request, AttemptOutcome.FULL)  # refused, then retried
             else:
                 fake.establish(request)
                 self.sessions.append(
@@ -123,7 +123,7 @@
                 self.sessions.remove((until, fake, request))
 
     def allowed(self, at: float, started: float) -> float:
-        """Returns the attempts in an overload window that the settings allow, by what all really serve."""
+        """Returns the attempts per overload window that the settings allow at the real request rate."""
         capacity = 1 - (1 - DECODED_SETTINGS.slow_start_initial_share) * (
             1 - (at - started) / DECODED_SETTINGS.slow_start_time
         )
@@ -136,7 +136,7 @@
         )
 
 
-SEEDS = {  # of proxies that report to each other: the worst seeds found, by the number of proxies
+SEEDS = {  # the worst seeds found for peered proxies, by fault and number of proxies
     "none": {3: 5, 20: 0, 30: 3},
     "dead": {3: 0, 20: 7, 30: 7},
     "stalled": {3: 2, 20: 5, 30: 1},
@@ -167,18 +167,18 @@
             in_window = sum(last - DECODED_SETTINGS.overload_window < at <= last for at in sent)
             allowed = fleet.allowed(last, started)
             assert in_window <= allowed + 2 * sqrt(allowed) + 2, f"{in_window} at {last - started:.2f} s"
-    assert len(fleet.sent) > 40  # it gets requests all the same
+    assert len(fleet.sent) > 40  # it still gets requests
 
 
 class Burst(Fleet):
-    """No request belongs to the server until it is some seconds old; then all do, and there are more."""
+    """The server owns no requests until `BURST_AT`; then it owns all, and their rate rises for a while."""
 
     def __init__(self, proxies: int, seed: int, factor: int) -> None:
         super().__init__(proxies, FakeHost, "none", seed)
         self.factor = factor
 
     def is_in_burst(self, lasts: float) -> bool:
-        """Returns whether the burst has begun, at most so many seconds ago."""
+        """Returns whether the burst began at most `lasts` seconds ago."""
         since: float = self.fakes[0].now - self.started_at - FIRST_START - BURST_AT
         return 0.0 <= since < lasts
 
@@ -197,7 +197,7 @@
 
 
 def excess(fleet: Fleet) -> float:
-    """Returns by how many attempts the worst overload window is over the rule."""
+    """Returns the attempts above the limit in the worst overload window."""
     excesses = [-inf]
     for last in fleet.sent:
         in_window = sum(last - DECODED_SETTINGS.overload_window < at <= last for at in fleet.sent)
@@ -206,7 +206,7 @@
     return max(excesses)
 
 
-@pytest.mark.parametrize("factor", [1, 5])  # five and 25 times its usual requests
+@pytest.mark.parametrize("factor", [1, 5])  # 5 and 25 times the server's usual requests
 @pytest.mark.parametrize("proxies", [1, 3, 20, 30, 200, 230])
 def test_burst_keeps_to_the_budget(proxies: int, factor: int) -> None:
     for seed in range(3):
@@ -229,7 +229,7 @@
         start = fleet.starts[0]
         slots = range(int(DECODED_SETTINGS.slow_start_time / DECODED_SETTINGS.overload_window))
         budget += sum(fleet.allowed(start + slot * DECODED_SETTINGS.overload_window, start) for slot in slots)
-    assert used >= FAIR_SHARE * budget  # each proxy has a request for it every six seconds
+    assert used >= FAIR_SHARE * budget  # each proxy has a request for the server every 6 to 8 seconds
 
 
 def test_two_slots_hold_no_more_than_the_rule_allows() -> None:
@@ -263,7 +263,7 @@
     for server in aggregator.balancer.ready_servers:
         aggregator.receive_endpoints({server.id: EndpointStatus.REMOVED})
     aggregator.receive_endpoints({NEW_SERVER: EndpointStatus.READY}, started=aggregator.now)
-    aggregator.advance(0.1)  # its budget is the one attempt that harms no server
+    aggregator.advance(0.1)  # its budget is the minimum of one attempt
     request = aggregator.request(7)
     assert [attempt.server.id for attempt in request.attempts] == [NEW_SERVER]
     aggregator.end_attempt(request, AttemptOutcome.TIMEOUT, 0.01)
@@ -293,7 +293,7 @@
     )
     fake = FakeHost(traffic_classes={"feed": traffic_class})
     late_retry = fake.request(1)
-    fake.advance(0.4)  # a connection may take 0.15 s more, and only then the request is sent
+    fake.advance(0.4)  # connecting may take 0.15 s more, and only then is the request sent
     fake.end_attempt(late_retry, AttemptOutcome.TIMEOUT, 0.4)
     early_retry = fake.request(1)
     fake.advance(0.3)
@@ -317,7 +317,7 @@
     request = requester.request(7, time_left=4.5)
     assert not request.attempts
     requester.balancer.begin_shutdown(requester.now)
-    # The request goes there once its permit request has timed out.
+    # The request goes to this server once its permit request has timed out.
     requester.receive_endpoints({"10.0.0.1:80": EndpointStatus.READY})
     requester.advance(DECODED_SETTINGS.shutdown_time + 0.01)
     assert request.answered
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""What several proxies together send to a server in slow start."""
+"""The attempts that several proxies together send to a server in slow start."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def attempts_in_slow_start(
     proxies: int, busy: float, every: int, kind: type[FakeHost] = FakeHost
 ) -> tuple[list[float], float]:
-    """Returns when proxies send attempts to a server in slow start, and its budget once it is warm."""
+    """Returns when proxies send attempts to a server in slow start, and the budget of a warm server."""
     fakes = make_fake_fleet(proxies, kind)[::every]
     for fake in fakes:
         for key in range(1 + 60 // proxies):
@@ -43,7 +43,7 @@
 
 
 def group_of(fake: FakeHost, server: Server, start: int) -> int:
-    """Returns a group that the server owns."""
+    """Returns a group whose ring position the server owns."""
     ring = fake.balancer.ring
     return next(n for n in range(50 * start, 10**6) if ring.owner(place_on_ring(b"group %d" % n)) is server)
 
@@ -56,18 +56,18 @@
 @pytest.mark.parametrize("case", [(1, 0.2, 1), (3, 0.2, 1), (40, 0.2, 1), (40, 0.2, 5), (40, 2.0, 1)])
 def test_fleet_keeps_to_slow_start_budget(case: tuple[int, float, int]) -> None:
     sent, warm = attempts_in_slow_start(*case)
-    # Two slots' tokens lie in the worst window: together what the rule allows.
+    # The worst window overlaps two slots, whose tokens together are within the limit.
     assert most_in_a_window(sent) <= min(2 * warm, warm + 2 * warm**0.5 + 2)
-    assert len(sent) > 20 / case[2]  # it gets what it may have, though most attempts are cancelled
+    assert len(sent) > 20 / case[2]  # the budget is used, although most attempts are cancelled
 
 
 def test_peers_that_report_share_a_larger_slow_start_budget() -> None:
     sent, warm = attempts_in_slow_start(40, DECODED_SETTINGS.overload_window / 40, 1, PeeredFakeHost)
-    # By then, the server bears a third.
+    # By then, the server can sustain a third of what a warm one can.
     early = [at for at in sent if at < 400_000 + DECODED_SETTINGS.slow_start_time / 4]
     assert len(early) > 10 and most_in_a_window(early) <= 2 * 2 * 0.4 * warm / 3 + 2
     fakes = make_fake_fleet(40, PeeredFakeHost)
-    # Where all datagrams are lost, no more may try than half of what the server bears.
+    # If all datagrams are lost, at most half of what the server can sustain may be attempted.
     for fake in fakes:
         fake.peers = []
         fake.request(1, server=fake.balancer.ready_servers[0])
@@ -107,13 +107,13 @@
         for g in range(100, 999)
         if next(iter(aggregator.balancer.ring.servers_from(place_on_ring(b"group %d" % g)))).id == starting
     ][:2]
-    for fake in fakes:  # all proxies together, in one instant
+    for fake in fakes:  # all proxies at the same time
         request = fake.request(group=group)
         if request.attempts:
             fake.establish(request)
     sent = sum(server.id == starting for fake in fakes for _, server, _ in fake.calls(HostCall.START_ATTEMPT))
     assert sent == ceil(budget) < 60
-    for fake in fakes:  # and again as the next slot begins, within one overload window
+    for fake in fakes:  # and again at the beginning of the next slot, within one overload window
         fake.advance(0.2)
     for fake in fakes:
         fake.request(group=other)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""Starts that lists report, by clocks that may be wrong, on a process's own clock."""
+"""Start times in endpoint lists, by clocks that may be wrong, converted to the monotonic clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from brambleplank.decisions.start_times import MAX_CLOCK_ERROR, StartTimes
 from brambleplank.model import Endpoint, EndpointStatus
 
-# true time is UNIX at NOW
+# The true Unix time is UNIX at monotonic time NOW.
 NOW = 5_000.0
 UNIX = 1_800_000_000.0
 SLOW_START_TIME = 20.0
@@ -29,7 +29,7 @@
 
 
 def make_start_times(wall_time: float) -> StartTimes:
-    """Returns the starts of a process that follows a list of servers which started long ago."""
+    """Returns the start times of a process that follows a list of servers started long ago."""
     times = StartTimes()
     convert(times, NOW - 60.0, wall_time - 60.0, s0=0.0, s1=UNIX - 10 * HOUR, s2=UNIX - 9 * HOUR)
     times.list_completed(NOW)
@@ -87,7 +87,7 @@
     convert(times, NOW + 1.0, UNIX + 1.0, newer=UNIX + 0.5)
     assert times.starts["one"][1] == pytest.approx(NOW - 8.5)
     assert times.starts["two"][1] == pytest.approx(NOW - 6.5)
-    # A server whose clock is ahead proves no more than our own clock.
+    # A server whose clock is ahead proves no more than this machine's wall clock.
     convert(times, NOW + 2.0, UNIX + 2.0, wrong=UNIX + HOUR)
     assert times.starts["one"][1] == pytest.approx(NOW - 9.0)
 
