--- a/tests/test_affinity_groups.py
+++ b/tests/test_affinity_groups.py
@@ -24,7 +24,7 @@
     assert fake.request(group=1).attempts[0].server is owner
 
 
-def test_displaced_group_is_reported_once_and_followed_by_peers() -> None:
+def test_displaced_group_is_reported_once_and_peers_follow() -> None:
     fakes = make_fake_fleet(3, PeeredFakeHost)
     first_proxy, second_proxy, third_proxy = fakes
     request = first_proxy.request(group=3)
--- a/tests/test_capacity_shortage.py
+++ b/tests/test_capacity_shortage.py
@@ -23,7 +23,7 @@
     assert fake.request(group=small).attempts[0].server in overloaded
 
 
-def test_server_over_its_objective_gets_nothing_when_capacity_is_short(fake: FakeHost) -> None:
+def test_server_that_misses_the_objective_gets_no_request_when_capacity_is_short(fake: FakeHost) -> None:
     sessions = [
         fake.request(group=key, server=server) for key, server in enumerate(fake.balancer.ready_servers)
     ]
@@ -60,7 +60,7 @@
     assert fake.balancer.chain.shortage.is_short_of_capacity(fake.now)
 
 
-def test_few_connections_suffice_to_see_a_shortage() -> None:
+def test_few_connections_suffice_to_detect_a_shortage() -> None:
     fake = FakeHost(servers=90, proxies=300)
     for key, server in enumerate(fake.balancer.ready_servers[:4]):
         fake.balancer.message_time_reported(
--- a/tests/test_concurrency_limiter.py
+++ b/tests/test_concurrency_limiter.py
@@ -6,7 +6,7 @@
 from tests.fake_host import FakeHost
 
 
-def test_limit_narrows_while_all_attempts_fail_and_opens_again(fake: FakeHost) -> None:
+def test_limit_falls_while_all_attempts_fail_and_rises_again(fake: FakeHost) -> None:
     for key in range(30):
         request = fake.request(key, time_left=9.0)
         while not request.answered:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -9,7 +9,7 @@
 from tests.sample_settings import FEED
 
 
-def test_attempt_waits_for_the_objective_or_for_all_time_left_while_many_fail(fake: FakeHost) -> None:
+def test_attempt_timeout_is_the_objective_or_all_time_left_while_many_fail(fake: FakeHost) -> None:
     fake.request()
     assert fake.calls(HostCall.START_ATTEMPT)[-1][2] == pytest.approx(FEED.latency_objective)
     for key in range(3):
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -7,7 +7,7 @@
 from tests.sample_settings import DECODED_SETTINGS
 
 
-def test_failed_list_calls_are_retried_spread_out() -> None:
+def test_failed_list_subscriptions_are_retried_at_random_times() -> None:
     proxies = [FakeHost(list_is_pushed=False, seed=seed) for seed in range(4)]
     for fake in proxies:
         fake.balancer.endpoint_list_failed(fake.now)
--- a/tests/test_hash_ring.py
+++ b/tests/test_hash_ring.py
@@ -22,7 +22,7 @@
     assert moved == {key for key in before if before[key] == "10.0.0.3:80"} != set()
 
 
-def test_ring_after_changes_equals_the_ring_of_the_list() -> None:
+def test_ring_after_changes_equals_the_ring_of_a_complete_list() -> None:
     fake = FakeHost(servers=200)
     other = FakeHost(servers=300)
     fake.receive_endpoints({f"10.0.0.{i}:80": EndpointStatus.READY for i in range(100, 300)})
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -60,7 +60,7 @@
     ]
 
 
-def test_permissions_to_probe_and_to_report_start_with_a_reload() -> None:
+def test_reload_that_permits_probes_and_reports_starts_them_once() -> None:
     fake = FakeHost(may_message_peers=False)
     fake.advance(3.0)
     assert not fake.calls(HostCall.PROBE) and not fake.calls(HostCall.SEND_LOAD_REPORT)
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -31,7 +31,7 @@
     assert sum(complete for _, complete, _ in fake.calls(HostCall.SEND_LOAD_REPORT)) >= 5
 
 
-def test_proxy_without_connections_still_believes_reports() -> None:
+def test_proxy_without_connections_accepts_reports() -> None:
     drained, _ = make_fake_fleet(2, PeeredFakeHost)
     for request in [drained.establish(drained.request(key)) for key in range(30)]:
         drained.end_attempt(request, AttemptOutcome.CANCELLED, complete=True)
@@ -40,7 +40,7 @@
     assert crowded.connections_elsewhere == 40 and drained.balancer.server_pool.counts.on_ready == 0
 
 
-def test_one_aggregator_adds_up_for_all() -> None:
+def test_one_aggregator_sums_up_all_reports() -> None:
     fakes, crowded = make_crowded_fleet(40)
     assert len(aggregators(fakes)) == 1 and aggregators(fakes) != {None}
     assert all(f.server(crowded).connections + f.server(crowded).connections_elsewhere == 40 for f in fakes)
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -40,7 +40,7 @@
     assert {request for request, _ in fake.calls(HostCall.REJECT)} == {earlier, later}
 
 
-def test_request_paused_after_a_local_fault_is_answered_by_the_shutdown() -> None:
+def test_request_delayed_after_a_local_fault_is_answered_by_the_shutdown() -> None:
     fake = FakeHost(1, traffic_classes={"feed": replace(FEED, deadline=30.0)}, shutdown_time=3.0)
     request = fake.request(time_left=30.0)
     for _ in range(12):
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -32,7 +32,7 @@
     assert "reinstated" in fake.calls(HostCall.LOG)[-1]
 
 
-def test_shared_delay_does_not_eject_most_servers(fake: FakeHost) -> None:
+def test_delay_common_to_all_servers_does_not_eject_most_of_them(fake: FakeHost) -> None:
     fake.establish_many(20)
     for key in range(60):
         request = fake.request(key)
@@ -45,7 +45,7 @@
     )
 
 
-def test_unreachable_server_of_an_old_list_is_skipped(fake: FakeHost) -> None:
+def test_unreachable_server_of_an_outdated_list_is_skipped(fake: FakeHost) -> None:
     request = fake.request(7)
     unreachable = request.attempts[0].server
     fake.end_attempt(request, AttemptOutcome.UNREACHABLE)
@@ -53,7 +53,7 @@
     assert fake.request(7).attempts[0].server is not unreachable
 
 
-def test_restarted_server_is_judged_anew(fake: FakeHost) -> None:
+def test_restart_resets_the_evidence_against_a_server(fake: FakeHost) -> None:
     request = fake.establish(fake.request(7))
     server = request.attempts[0].server
     fake.balancer.message_time_reported(fake.now, request.attempts[-1].server, 0.2)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -178,7 +178,9 @@
 
 @pytest.mark.parametrize("peers", [False, True])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_attempts_do_not_keep_a_shared_store_late_while_all_restart(seed: int, peers: bool) -> None:
+def test_retries_do_not_keep_a_shared_store_overloaded_while_all_proxies_restart(
+    seed: int, peers: bool
+) -> None:
     fleet = SharedStore(seed, peers)
     fleet.establish_sessions()
     fleet.reset_sessions(RESET_SESSIONS)
--- a/tests/test_overload_detection.py
+++ b/tests/test_overload_detection.py
@@ -9,7 +9,7 @@
 from tests.sample_settings import DECODED_SETTINGS
 
 
-def test_slow_server_is_skipped_until_it_is_quick_again(fake: FakeHost) -> None:
+def test_slow_server_is_skipped_until_it_has_recovered(fake: FakeHost) -> None:
     request = fake.establish(fake.request(7))
     owner = request.attempts[0].server
     fake.balancer.message_time_reported(fake.now, request.attempts[-1].server, 0.2)
@@ -52,7 +52,7 @@
         (2, False, 0, 0, 0),
     ],
 )
-def test_reconnecting_request_skips_an_owner_unknown_here(
+def test_reconnecting_request_skips_an_owner_without_connections_here(
     proxies: int, probes: bool, connections: int, min_skipped: int, max_skipped: int
 ) -> None:
     skipped = 0
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("has_connections", [False, True])
-def test_evidence_holds_longer_where_connections_are_few(fake: FakeHost, has_connections: bool) -> None:
+def test_evidence_counts_for_longer_where_connections_are_few(fake: FakeHost, has_connections: bool) -> None:
     request = fake.establish(fake.request(7))
     for key, server in enumerate(fake.balancer.ready_servers):
         if has_connections:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -20,7 +20,7 @@
     assert len(placed) == 1
 
 
-def test_reconnecting_wave_is_spread_and_new_requests_are_not() -> None:
+def test_reconnecting_requests_are_spread_and_new_ones_are_not() -> None:
     fake = FakeHost(servers=4)
     new = {fake.establish(fake.request(group=3)).attempts[0].server for _ in range(4)}
     reconnected = [
@@ -29,7 +29,7 @@
     assert len(new) == 1 and not new & set(reconnected)
 
 
-def test_no_server_takes_much_over_its_share_while_others_are_slow(fake: FakeHost) -> None:
+def test_no_server_gets_much_more_than_its_share_while_others_are_slow(fake: FakeHost) -> None:
     *slow, unreported = fake.balancer.ready_servers
     for key in range(60):
         for server in slow:
@@ -44,7 +44,7 @@
     )
 
 
-def test_one_server_takes_what_two_have_borne() -> None:
+def test_one_server_gets_the_load_that_two_have_carried() -> None:
     fake = FakeHost(servers=2)
     slow, healthy = fake.balancer.ready_servers
     requests = [fake.establish(fake.request(key)) for key in range(60)]
@@ -56,7 +56,7 @@
     assert healthy.connections > 50 and not fake.calls(HostCall.REJECT)
 
 
-def test_clients_that_change_from_the_process_before_do_not_fill_the_last_server() -> None:
+def test_clients_moving_from_the_previous_process_do_not_fill_the_last_server() -> None:
     # Requests were rejected during upgrades: until its next report, the previous process still counts clients
     # that have moved to this one, so the last server looked full.
     fake = FakeHost(servers=2)
--- a/tests/test_recovery_ramp.py
+++ b/tests/test_recovery_ramp.py
@@ -6,7 +6,7 @@
 from tests.fake_host import FakeHost
 
 
-def test_recovered_server_is_refilled_by_doubling_steps() -> None:
+def test_attempts_at_a_recovered_server_double_step_by_step() -> None:
     fake = FakeHost(servers=1)
     request = fake.establish(fake.request())
     fake.balancer.message_time_reported(fake.now, request.attempts[-1].server, 0.2)
@@ -18,7 +18,7 @@
     assert established[0] <= 1 < established[1] < established[2] < 30
 
 
-def test_report_of_a_quick_server_starts_no_ramp(fake: FakeHost) -> None:
+def test_report_of_a_fast_server_starts_no_ramp(fake: FakeHost) -> None:
     server = fake.request(7).attempts[0].server
     for _ in range(4):
         fake.balancer.message_time_reported(fake.now, server, 0.0)
--- a/tests/test_rule_guard.py
+++ b/tests/test_rule_guard.py
@@ -102,7 +102,7 @@
         ),
     ],
 )
-def test_attempt_against_a_rule_is_refused_and_counted(
+def test_attempt_that_breaks_an_invariant_is_refused_and_counted(
     invariants: RequestInvariants,
     idempotency: Idempotency,
     scope: str,
@@ -115,7 +115,7 @@
     assert list(invariants.violations) == ([violated] if violated else [])
 
 
-def test_a_window_that_closes_before_an_opening_is_written_is_a_crossing(
+def test_deduplication_window_that_ends_before_the_write_is_a_crossing(
     invariants: RequestInvariants,
 ) -> None:
     referenced = make_request(
@@ -127,7 +127,7 @@
     assert not invariants.violations and invariants.crossings == {InvariantKind.REPEATING: 1}
 
 
-def test_drain_is_a_crossing_before_the_write_and_a_violation_at_the_dial(
+def test_drain_is_a_crossing_before_the_write_and_a_violation_at_the_start_of_an_attempt(
     invariants: RequestInvariants,
 ) -> None:
     drains = make_server("s4")
@@ -142,7 +142,7 @@
     assert invariants.crossings == invariants.violations == {InvariantKind.SENDING: 1}
 
 
-def test_reject_that_promises_too_much_is_counted(invariants: RequestInvariants) -> None:
+def test_reject_of_a_request_that_may_have_run_is_counted(invariants: RequestInvariants) -> None:
     invariants.request_rejected(
         "1a", make_request(Idempotency.NON_IDEMPOTENT, "all", (ONE, AttemptOutcome.FULL))
     )
@@ -160,7 +160,7 @@
     assert invariants.summary() == "2 violations; crossings: none"
 
 
-def test_more_than_all_may_send_to_a_server_in_slow_start_is_counted(invariants: RequestInvariants) -> None:
+def test_attempts_over_the_limit_in_slow_start_are_counted(invariants: RequestInvariants) -> None:
     starting = make_server("s5")
     starting.record_restart(NOW - 1.0)
     for number in range(17):  # 13 = 4 + 3 x sqrt(4) + 3 in one overload window of 2 s, and 4 later
@@ -175,7 +175,7 @@
     assert list(invariants.sent) == [later]  # the other server is warm by now
 
 
-def test_server_that_drains_while_connecting_gets_no_opening(
+def test_server_that_drains_while_connecting_gets_no_request(
     start_program: StartProgram,
 ) -> None:
     draining = StandIn("UP draining")
@@ -207,7 +207,7 @@
     assert "violation of" not in log and "invariants: 0 violations; crossings: sending 1" in log
 
 
-def test_resumed_session_after_two_dials_ends_like_any_other(
+def test_resumed_session_after_two_attempts_ends_like_any_other(
     start_program: StartProgram, tmp_path: Path
 ) -> None:
     server = StandIn()
@@ -222,7 +222,7 @@
     assert "end broke" in log and "fault" not in log
 
 
-DECISIONS_THAT_FORGET = overrides(
+DECISIONS_THAT_FORGET_REQUESTS = overrides(
     {
         "brambleplank.decisions.deadline:DeadlineStage.expire": "lambda *what, **more: None",
         "brambleplank.decisions.deadline:DeadlineStage.attempt_ended": "lambda *what, **more: None",
@@ -230,8 +230,10 @@
 )
 
 
-def test_forgotten_request_is_answered_and_counted(start_program: StartProgram) -> None:
-    program = start_program(endpoint_list(41, True, s0=StandIn(None).address), patch=DECISIONS_THAT_FORGET)
+def test_request_forgotten_by_the_decisions_is_answered_and_counted(start_program: StartProgram) -> None:
+    program = start_program(
+        endpoint_list(41, True, s0=StandIn(None).address), patch=DECISIONS_THAT_FORGET_REQUESTS
+    )
     assert program.connect("PING").read_line() == "PONG"
     begun = time.monotonic()
     assert program.open_request(deadline_ms=400).read_line() == "FAIL"
@@ -240,7 +242,7 @@
     assert "violation of closing" in log and "invariants: 1 violations" in log and "end overdue" in log
 
 
-def test_overlong_line_after_an_opening_keeps_its_answer(start_program: StartProgram) -> None:
+def test_overlong_line_after_a_request_is_answered(start_program: StartProgram) -> None:
     program = start_program(endpoint_list(41, True, s0=StandIn(None).address))
     client = program.open_request()
     client.socket.sendall(b"x" * 5000)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize(("kind", "proxies", "fault", "seed"), CASES)
-def test_fleet_keeps_to_the_budget_under_faults(
+def test_fleet_stays_within_the_budget_under_faults(
     kind: type[FakeHost], proxies: int, fault: str, seed: int
 ) -> None:
     fleet = Fleet(proxies, kind, fault, seed)
@@ -208,7 +208,7 @@
 
 @pytest.mark.parametrize("factor", [1, 5])  # 5 and 25 times the server's usual requests
 @pytest.mark.parametrize("proxies", [1, 3, 20, 30, 200, 230])
-def test_burst_keeps_to_the_budget(proxies: int, factor: int) -> None:
+def test_burst_stays_within_the_budget(proxies: int, factor: int) -> None:
     for seed in range(3):
         fleet = Burst(proxies, seed, factor)
         fleet.run()
@@ -232,7 +232,7 @@
     assert used >= FAIR_SHARE * budget  # each proxy has a request for the server every 6 to 8 seconds
 
 
-def test_two_slots_hold_no_more_than_the_rule_allows() -> None:
+def test_two_slots_together_stay_within_the_limit() -> None:
     for connections in range(1, 80):
         fake = FakeHost(proxies=1)
         for key in range(connections):
@@ -285,7 +285,7 @@
     assert NEW_SERVER in {server.id for server in unpeered.calls(HostCall.PROBE)}
 
 
-def test_retry_has_to_be_connected_within_the_deduplication_window() -> None:
+def test_retry_has_to_connect_within_the_deduplication_window() -> None:
     traffic_class = replace(
         DECODED_SETTINGS.traffic_classes["feed"],
         idempotency=Idempotency.IDEMPOTENT_IN_GROUP,
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("case", [(1, 0.2, 1), (3, 0.2, 1), (40, 0.2, 1), (40, 0.2, 5), (40, 2.0, 1)])
-def test_fleet_keeps_to_slow_start_budget(case: tuple[int, float, int]) -> None:
+def test_fleet_stays_within_the_slow_start_budget(case: tuple[int, float, int]) -> None:
     sent, warm = attempts_in_slow_start(*case)
     # The worst window overlaps two slots, whose tokens together are within the limit.
     assert most_in_a_window(sent) <= min(2 * warm, warm + 2 * warm**0.5 + 2)
@@ -79,7 +79,7 @@
     assert 1 <= at_once.count(starting.id) <= DECODED_SETTINGS.overload_factor / 2 * 0.6 * 40 / 5 + 1
 
 
-def test_only_server_gets_a_request_in_slow_start() -> None:
+def test_only_server_gets_one_request_in_slow_start() -> None:
     fakes = make_fake_fleet(3, FakeHost)
     for fake in fakes:
         fake.receive_endpoints({"s": EndpointStatus.READY}, complete=True, started=fake.now - 0.1)
