--- a/brambleplank/decisions/load_reports.py
+++ b/brambleplank/decisions/load_reports.py
@@ -115,11 +115,11 @@
 
     def changes(self, counts: Mapping[Server, int]) -> dict[Server, int]:
         """Returns the counts that differ from the last report; of an aggregate, by a minimum share."""
-        least_change = MIN_AGGREGATE_CHANGE if self.is_aggregator else 0.0
+        min_change = MIN_AGGREGATE_CHANGE if self.is_aggregator else 0.0
         return {
             server: count
             for server, count in counts.items()
-            if abs(count - self.reported.get(server, 0)) > least_change * count
+            if abs(count - self.reported.get(server, 0)) > min_change * count
         }
 
     def load_report_received(
--- a/brambleplank/decisions/placement.py
+++ b/brambleplank/decisions/placement.py
@@ -59,7 +59,7 @@
         """Returns the first server without penalty, else the one with the lowest; None if all are HARMFUL."""
         target = None
         lowest_penalty = Penalty.HARMFUL
-        servers_left = self.max_servers_tried(now, request)
+        candidates_left = self.max_candidates(now, request)
         for server in self.candidates(now, request):
             if any(excludes(now, request, server) for excludes in self.exclusions):
                 continue
@@ -70,8 +70,8 @@
                 if penalty is Penalty.NONE:
                     break
             if not server.trial_attempts and not was_tried(request, server):
-                servers_left -= 1
-            if servers_left <= 0:
+                candidates_left -= 1
+            if candidates_left <= 0:
                 break
         return target
 
@@ -86,7 +86,7 @@
             [group_server] if group_server else [], self.server_pool.ring.servers_from(request.ring_position)
         )
 
-    def max_servers_tried(self, now: float, request: Request) -> float:
+    def max_candidates(self, now: float, request: Request) -> float:
         """Returns the maximum number of servers along the ring to consider for a request.
 
         Each server with members of a group bears the group's cost. If the fleet is short of capacity, this
--- a/brambleplank/decisions/request_invariants.py
+++ b/brambleplank/decisions/request_invariants.py
@@ -52,17 +52,19 @@
         self.crossings: Counter[InvariantKind] = Counter()
         self.sent: dict[Server, deque[float]] = {}  # times in the last window, by server in slow start
 
-    def count_violation(self, rule: InvariantKind, detail: str) -> None:
+    def count_violation(self, invariant: InvariantKind, detail: str) -> None:
         """Counts a violation, and reports it if the count is a power of two."""
-        self.violations[rule] += 1
-        count = self.violations[rule]
+        self.violations[invariant] += 1
+        count = self.violations[invariant]
         if count & (count - 1) == 0:  # 1, 2, 4, ...
-            self.report(f"violation of {rule.value}: {detail}; {count} so far")
+            self.report(f"violation of {invariant.value}: {detail}; {count} so far")
 
     def summary(self) -> str:
         """Returns all counts, for a log line at exit."""
         broken = sum(self.violations.values())
-        crossed = ", ".join(f"{rule.value} {count}" for rule, count in sorted_counts(self.crossings))
+        crossed = ", ".join(
+            f"{invariant.value} {count}" for invariant, count in sorted_counts(self.crossings)
+        )
         return f"{broken} violations; crossings: {crossed or 'none'}"
 
     # SENDING and REPEATING.
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -75,8 +75,8 @@
             {"10.0.0.9:80": EndpointStatus.READY}, started=fake.now - DECODED_SETTINGS.slow_start_time / 2
         )
     starting = fakes[0].server("10.0.0.9:80")
-    at_once = [fake.request(group=group_of(fakes[0], starting, 0)).attempts[0].server.id for fake in fakes]
-    assert 1 <= at_once.count(starting.id) <= DECODED_SETTINGS.overload_factor / 2 * 0.6 * 40 / 5 + 1
+    targets = [fake.request(group=group_of(fakes[0], starting, 0)).attempts[0].server.id for fake in fakes]
+    assert 1 <= targets.count(starting.id) <= DECODED_SETTINGS.overload_factor / 2 * 0.6 * 40 / 5 + 1
 
 
 def test_only_server_gets_one_request_in_slow_start() -> None:
