--- a/brambleplank/decisions/outlier_ejection.py
+++ b/brambleplank/decisions/outlier_ejection.py
@@ -64,7 +64,10 @@
             self.eject(now, server, SILENT)
 
     def eject(self, now: float, server: Server, reason: str) -> None:
-        """Ejects the server, or a server already ejected for twice its previous ejection time."""
+        """Ejects the server, unless too many are ejected.
+
+        If it is already ejected, extends the ejection by twice its previous time.
+        """
         was_in_use = server.trial_attempts == 0
         if was_in_use and self.has_too_many_ejected():
             return
--- a/brambleplank/decisions/overload.py
+++ b/brambleplank/decisions/overload.py
@@ -13,9 +13,7 @@
 
 SLOW_DIVISOR = 3  # a server is slow if messages take over a third of the shortest message objective
 SLOW_REPORT_LIFETIME = 3 * REPORT_PERIOD  # seconds for which a report of slow messages counts
-DROP_LIKELIHOOD_AT_OWNER = (
-    3 / 4
-)  # probability that a reconnecting client was dropped or migrated by its owner,
+DROP_LIKELIHOOD_AT_OWNER = 3 / 4  # that a reconnecting client was dropped or migrated by its owner,
 DROP_LIKELIHOOD_ELSEWHERE = 2 / 4  # or by a given server further along the ring
 
 
--- a/brambleplank/decisions/request_invariants.py
+++ b/brambleplank/decisions/request_invariants.py
@@ -96,9 +96,9 @@
         """Returns why the attempt must not be sent at that time; empty if it may."""
         server = attempt.server
         if request.answered:
-            return "it has its final answer"
+            return "it already has its final answer"
         if any(not other.ended for other in request.attempts if other is not attempt):
-            return "another attempt is out"
+            return "another attempt has not ended"
         if (
             server.status is not EndpointStatus.READY
             and now >= server.unready_since + self.settings.drain_grace
@@ -119,7 +119,7 @@
         if now >= first.sent + traffic_class.deduplication_window:
             return f"the window since {first.server.id} is over"
         if not recognize_repeats(traffic_class.deduplication_scope, first.server, attempt.server):
-            return f"it may have run at {first.server.id}, of another {traffic_class.deduplication_scope}"
+            return f"it may have run at {first.server.id}, in another {traffic_class.deduplication_scope}"
         return ""
 
     # CLOSING.
@@ -161,7 +161,8 @@
         limit = sustainable + deviations * sqrt(sustainable) + deviations
         if len(sent) > limit:
             self.count_violation(
-                InvariantKind.STARTING, f"{len(sent)} at {server.id} in slow start, all may send {limit:.1f}"
+                InvariantKind.STARTING,
+                f"{len(sent)} attempts at {server.id} in slow start, limit for all proxies {limit:.1f}",
             )
 
     def forget_warm_servers(self, now: float) -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -59,22 +59,22 @@
 
     def cause_faults(self) -> None:
         """Starts the server, and causes this fleet's fault at its time."""
-        restarts = (18.0, 20.5) if self.fault == "restarts" else ()
+        restarts = (18.0, 20.5) if self.fault == "server restarts" else ()
         if any(self.is_time(when) for when in (FIRST_START, *restarts)):
             self.starts.append(self.fakes[0].now)
             for fake in self.fakes:
                 fake.receive_endpoints({NEW_SERVER: EndpointStatus.READY}, started=fake.now)
         aggregator = self.aggregator() if self.is_time(17.0) else None
-        if aggregator and self.fault in ("dead", "stalled"):
+        if aggregator and self.fault in ("aggregator dies", "aggregator cut off"):
             aggregator.peers = []  # its datagrams are lost
-            if self.fault == "dead":
+            if self.fault == "aggregator dies":
                 self.live.remove(self.fakes.index(aggregator))
                 for fake in self.fakes:
                     fake.peers = [other for other in fake.peers if other is not aggregator]
-        if self.fault == "deaf" and self.is_time(17.0):
+        if self.fault == "all cut off" and self.is_time(17.0):
             for fake in self.fakes:
                 fake.peers = []
-        if self.fault == "new" and self.is_time(16.2):
+        if self.fault == "proxies restart" and self.is_time(16.2):
             for number in self.rng.sample(self.live, 7 * len(self.live) // 10):
                 self.restart(self.fakes[number])
 
@@ -138,20 +138,20 @@
 
 SEEDS = {  # the worst seeds found for peered proxies, by fault and number of proxies
     "none": {3: 5, 20: 0, 30: 3},
-    "dead": {3: 0, 20: 7, 30: 7},
-    "stalled": {3: 2, 20: 5, 30: 1},
-    "deaf": {3: 7, 20: 7, 30: 3},
-    "new": {3: 2, 20: 0, 30: 3},
-    "restarts": {3: 5, 20: 1, 30: 3},
+    "aggregator dies": {3: 0, 20: 7, 30: 7},
+    "aggregator cut off": {3: 2, 20: 5, 30: 1},
+    "all cut off": {3: 7, 20: 7, 30: 3},
+    "proxies restart": {3: 2, 20: 0, 30: 3},
+    "server restarts": {3: 5, 20: 1, 30: 3},
 }
 CASES: list[tuple[type[FakeHost], int, str, int]] = [
     (PeeredFakeHost, n, fault, seed) for fault, seeds in SEEDS.items() for n, seed in seeds.items()
 ]
 CASES += [
     (FakeHost, 1, "none", 4),
-    (FakeHost, 1, "restarts", 2),
+    (FakeHost, 1, "server restarts", 2),
     (FakeHost, 20, "none", 0),
-    (FakeHost, 30, "restarts", 2),
+    (FakeHost, 30, "server restarts", 2),
 ]
 
 
