--- a/brambleplank/decisions/concurrency_limiter.py
+++ b/brambleplank/decisions/concurrency_limiter.py
@@ -8,7 +8,7 @@
 from brambleplank.records import Attempt, DecayingCounter, Request
 
 INITIAL_FLEET_LIMIT = 128  # concurrent attempts of all proxies at a start
-MIN_FLEET_LIMIT = 16  # concurrent attempts of all proxies; the limit never falls below
+MIN_FLEET_LIMIT = 16  # lowest limit, in concurrent attempts of all proxies; one per proxy if that is less
 MAX_RETRY_BUDGET = 4.0  # retries that may be saved up
 RETRIES_PER_ESTABLISHED_ATTEMPT = 1 / 8  # retries that an established attempt adds to the budget
 LATE_DEADLINE_SHARE = 1 / 2  # share of the deadline after which an established attempt counts as late
--- a/brambleplank/decisions/endpoint_list.py
+++ b/brambleplank/decisions/endpoint_list.py
@@ -73,7 +73,7 @@
         """Recomputes which servers are warm and available.
 
         Counted as available, servers that are dead or in slow start would look like spare capacity, and the
-        others would look overloaded compared with the mean.
+        others would look overloaded compared with the mean. If there are no others, all ready servers count.
         """
         latest_warm_start = max(0.0, now - self.context.settings.slow_start_time)
         self.available = self.ready
--- a/brambleplank/decisions/group_members.py
+++ b/brambleplank/decisions/group_members.py
@@ -14,9 +14,8 @@
     def __init__(self) -> None:
         self.session_counts: dict[int, int] = {}  # by ring position
         self.displaced: dict[int, Server] = {}  # by ring position, of groups not at their owner
-        self.reported: dict[
-            int, tuple[Server, float]
-        ] = {}  # server, and until when it counts; by the reported part of the position
+        # Reported servers and expiry times of groups, by the reported part of their ring positions.
+        self.reported: dict[int, tuple[Server, float]] = {}
 
     def join(self, request: Request, server: Server, is_owner: bool) -> None:
         """Adds a request that is established at the server to its group."""
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -24,11 +24,8 @@
 
 def test_proxies_of_a_zone_share_the_probes() -> None:
     fakes = make_fake_fleet(40, PeeredFakeHost)
-    for duration in (
-        8.0,
-        9.0,
-        9.0,
-    ):  # more often at first; after each period, the proxy that probed most is removed
+    # Probes are more frequent at first. After each period, the proxy that probed most is removed.
+    for duration in (8.0, 9.0, 9.0):
         for fake in fakes:
             fake.recorded_calls.clear()
         for _ in range(round(duration / 0.02)):
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -80,11 +80,9 @@
     advance_together([*remaining, new], 1.5)
     assert new.server(crowded).connections_elsewhere == 11
     crowded_server = remaining[0].server(crowded)
-    # A new proxy reports to all proxies.
+    # A new proxy reports to all proxies. Connections that are in the aggregate must not count twice.
     remaining[0].balancer.load_report_received(remaining[0].now, 77, [(crowded_server, 9)], True)
-    assert (
-        crowded_server.connections + crowded_server.connections_elsewhere == 11
-    )  # connections in the aggregate count once
+    assert crowded_server.connections + crowded_server.connections_elsewhere == 11
 
 
 def test_lower_number_stays_aggregator_and_grants_from_its_next_slot() -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -80,6 +80,5 @@
             fake.end_attempt(request, AttemptOutcome.UNREACHABLE)
         if request.active_attempt:
             fake.establish(request)
-    assert (
-        sum(server.connections for server in fake.balancer.ready_servers) >= 78
-    )  # one request may meet all three dead servers
+    # A request may meet all three dead servers and fail.
+    assert sum(server.connections for server in fake.balancer.ready_servers) >= 78
