--- a/brambleplank/fleet/versions/proposer.py
+++ b/brambleplank/fleet/versions/proposer.py
@@ -284,7 +284,7 @@
         majority = self.identity.majority
         if objections and self.objections_reject(objections):
             member, reason = next(iter(objections.items()))
-            self.abandon(proposal, f"member {member} objects: {reason}")
+            self.abandon(proposal, f"{member} objects: {reason}")
         elif accepted >= majority and not waiting:
             self.commit(proposal)
         elif now >= proposal.proposed_at + PROPOSAL_TIMEOUT:
