--- a/brambleplank/interfaces.py
+++ b/brambleplank/interfaces.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class AdmissionVerdict:
+class AdmissionDecision:
     """Whether the fleet lets a request in; if not, after how many seconds a client may come again."""
 
     admitted: bool
@@ -117,10 +117,10 @@
     def established_upstream(self) -> UpstreamConnection | None:
         """The one that is established."""
 
-    def open_upstream(self, endpoint: EndpointAddress, wait: float) -> None:
+    def open_upstream(self, endpoint: EndpointAddress, timeout: float) -> None:
         """Begins an attempt, given up after `wait` seconds; 0: as long as a resumed session may take."""
 
-    def reject(self, pause: float) -> None:
+    def reject(self, retry_after: float) -> None:
         """Answers that trying again is harmless, best after `pause` seconds (0: no advice)."""
 
     def abort(self, code: str) -> None:
@@ -145,7 +145,7 @@
     def reload(self) -> None:
         """Reads its configuration again."""
 
-    def admit(self, client: ClientConnection, opening: RequestOpening) -> AdmissionVerdict:
+    def admit(self, client: ClientConnection, opening: RequestOpening) -> AdmissionDecision:
         """Returns whether a new request may be attempted."""
 
     def session_resumed(self, client: ClientConnection, opening: RequestOpening) -> None:
@@ -154,7 +154,7 @@
     def notice(self, client: ClientConnection) -> str:
         """Returns the notice for an established client that asked for it; "": none."""
 
-    def allows_further_attempt(self, client: ClientConnection) -> bool:
+    def allows_retry(self, client: ClientConnection) -> bool:
         """Returns whether a request may be attempted once more."""
 
     def request_established(self, client: ClientConnection) -> None:
@@ -163,7 +163,7 @@
     def request_ended(self, client: ClientConnection, rejected: bool) -> None:
         """A request has its final answer, or a session has ended."""
 
-    def attempt_finished(self, server: Server, good: bool) -> None:
+    def attempt_finished(self, server: Server, succeeded: bool) -> None:
         """An attempt at a server was established, or failed."""
 
 
--- a/brambleplank/net/buffers.py
+++ b/brambleplank/net/buffers.py
@@ -14,9 +14,9 @@
 
 from brambleplank.errors import BrambleplankError
 from brambleplank.net.local_faults import (
-    ACCEPT_NEXT,
-    CONNECT_ERRORS,
-    CONNECT_ERRORS_AT_ONCE,
+    LOCAL_CONNECT_ERRORS,
+    LOCAL_IMMEDIATE_CONNECT_ERRORS,
+    SINGLE_CONNECTION_ACCEPT_ERRORS,
     LocalConnectError,
 )
 from brambleplank.net.loop import reactor
@@ -24,7 +24,7 @@
 LOG = Logger()
 BUFFER_SIZE = 16 * 1024  # bytes; several lines of the longest kind
 BACKLOG = 1024  # connections that the kernel holds ready; each may already have sent its line
-MAX_ACCEPTS = 100  # connections in one pass of the loop
+MAX_ACCEPTS_PER_PASS = 100  # connections in one pass of the loop
 ACCEPT_RETRY_DELAY = 0.02  # seconds, where this machine could not accept
 LINGER_TIMEOUT = 1.5  # seconds that the other side has to read what is left, and to end its own side
 
@@ -35,24 +35,24 @@
     ADVICE = "look at the network between the two, or at who has reset the connection"
 
 
-class Pool:
+class BufferPool:
     """Buffers of one size: those that were given back are used again, beyond `kept` they are freed."""
 
-    def __init__(self, kept: int) -> None:
-        self.kept = kept
-        self.free: list[bytearray] = []
+    def __init__(self, max_free: int) -> None:
+        self.max_free = max_free
+        self.free_buffers: list[bytearray] = []
 
     def acquire(self) -> bytearray:
         """Returns a buffer, which is to be given back."""
-        return self.free.pop() if self.free else bytearray(BUFFER_SIZE)
+        return self.free_buffers.pop() if self.free_buffers else bytearray(BUFFER_SIZE)
 
     def release(self, buffer: bytearray) -> None:
         """Takes a buffer back."""
-        if len(self.free) < self.kept:
-            self.free.append(buffer)
+        if len(self.free_buffers) < self.max_free:
+            self.free_buffers.append(buffer)
 
 
-POOL = Pool(kept=16)
+BUFFER_POOL = BufferPool(max_free=16)
 
 
 class PooledConnection:
@@ -65,20 +65,20 @@
 
     def doRead(self) -> Any:  # noqa: N802
         """Reads once; returns why the connection has ended, if it has."""
-        buffer = POOL.acquire()
+        buffer = BUFFER_POOL.acquire()
         try:
             try:
                 count = self.socket.recv_into(buffer)
             except BlockingIOError:
                 return None
-            except OSError as failed:
-                return BrokenConnectionError(errorcode.get(failed.errno or 0, "reset"))
+            except OSError as error:
+                return BrokenConnectionError(errorcode.get(error.errno or 0, "reset"))
             if not count:
                 return main.CONNECTION_DONE
             # Outside the inner `try`: an error of what the protocol does then is not this connection's end.
             self.protocol.dataReceived(memoryview(buffer)[:count])
         finally:
-            POOL.release(buffer)
+            BUFFER_POOL.release(buffer)
         return None
 
     def writeSomeData(self, data: bytes) -> Any:  # noqa: N802
@@ -183,7 +183,7 @@
         """
         fail = super().failIfNotConnected
         number = getattr(err, "osError", None)
-        if number in (CONNECT_ERRORS if self.is_connecting else CONNECT_ERRORS_AT_ONCE):
+        if number in (LOCAL_CONNECT_ERRORS if self.is_connecting else LOCAL_IMMEDIATE_CONNECT_ERRORS):
             err = LocalConnectError("socket" if isinstance(err, ConnectBindError) else "connect", number)
         if isinstance(err, TimeoutError):
             reactor.callLater(0, fail, err)
@@ -212,14 +212,14 @@
         if capacity <= 0:
             self.pause()
             return
-        for _ in range(min(MAX_ACCEPTS, capacity)):
+        for _ in range(min(MAX_ACCEPTS_PER_PASS, capacity)):
             try:
                 accepted, address = self.socket.accept()
             except BlockingIOError:
                 return
-            except OSError as failed:
-                self.factory.accept_failed(failed.errno)
-                if failed.errno not in ACCEPT_NEXT:
+            except OSError as error:
+                self.factory.accept_failed(error.errno)
+                if error.errno not in SINGLE_CONNECTION_ACCEPT_ERRORS:
                     self.pause()
                     self.reactor.callLater(ACCEPT_RETRY_DELAY, self.resume)
                     return
@@ -249,14 +249,14 @@
         if not self.handed_off and not self.disconnecting and self.connected:  # type: ignore[attr-defined]
             self.startReading()  # type: ignore[attr-defined]
 
-    def set_handed_off(self, given: bool) -> None:
+    def set_handed_off(self, handed_off: bool) -> None:
         """Leaves accepting to another process of the same queue, or takes it back.
 
         Shut down as Twisted does at the end, the queue would be closed for the other process too.
         """
-        self.handed_off = given
+        self.handed_off = handed_off
         self._shouldShutdown = False
-        if given:
+        if handed_off:
             self.stopReading()  # type: ignore[attr-defined]
         else:
             self.resume()
--- a/brambleplank/net/clock.py
+++ b/brambleplank/net/clock.py
@@ -19,8 +19,8 @@
 
     def __init__(self) -> None:
         self.epoch_offset = time.time() - time.monotonic()
-        self.date_offset = self.epoch_offset  # of dates to the monotonic clock
-        self.stepped: tuple[float, float] | None = None  # an offset that is waited out, and since when
+        self.settled_offset = self.epoch_offset  # of dates to the monotonic clock
+        self.pending_step: tuple[float, float] | None = None  # an offset that is waited out, and since when
 
     def now(self) -> float:
         """Returns seconds on the monotonic clock, from a zero that lets them read as Unix time."""
@@ -41,47 +41,47 @@
         """
         monotonic = time.monotonic()
         offset = self.wall_time() - monotonic
-        if offset <= self.date_offset + MAX_SLEW:
-            self.date_offset = offset
-            self.stepped = None
-        elif self.stepped is None or abs(offset - self.stepped[0]) > MAX_SLEW:
-            self.stepped = offset, monotonic
-        elif monotonic >= self.stepped[1] + STEP_SETTLED_AFTER:
-            self.date_offset = offset
-            self.stepped = None
-        return self.date_offset + monotonic
+        if offset <= self.settled_offset + MAX_SLEW:
+            self.settled_offset = offset
+            self.pending_step = None
+        elif self.pending_step is None or abs(offset - self.pending_step[0]) > MAX_SLEW:
+            self.pending_step = offset, monotonic
+        elif monotonic >= self.pending_step[1] + STEP_SETTLED_AFTER:
+            self.settled_offset = offset
+            self.pending_step = None
+        return self.settled_offset + monotonic
 
     def adopt_epoch_offset(self, epoch_offset: float) -> None:
         """Goes on by the clock of another process of this machine, so that times of both can be compared."""
         self.epoch_offset = epoch_offset
 
-    def call_later(self, delay: float, call: Callable[..., object], *what: Any) -> DelayedCall:
+    def call_later(self, delay: float, call: Callable[..., object], *arguments: Any) -> DelayedCall:
         """Calls after a delay in seconds."""
-        call_made: DelayedCall = reactor.callLater(max(0.0, delay), call, *what)
-        return call_made
+        delayed_call: DelayedCall = reactor.callLater(max(0.0, delay), call, *arguments)
+        return delayed_call
 
-    def call_after_reads(self, delay: float, call: Callable[..., object], *what: Any) -> CallAfterReads:
+    def call_after_reads(self, delay: float, call: Callable[..., object], *arguments: Any) -> CallAfterReads:
         """Calls after a delay in seconds, once what had arrived by then has been read.
 
         After a stall of this process timers come first, and would take what did arrive for missing.
         """
-        return CallAfterReads(self, delay, call, what)
+        return CallAfterReads(self, delay, call, arguments)
 
 
 class CallAfterReads:
     """A call that is made one pass of the loop after its time; until then it can be cancelled."""
 
     def __init__(
-        self, clock: Clock, delay: float, call: Callable[..., object], what: tuple[Any, ...]
+        self, clock: Clock, delay: float, call: Callable[..., object], arguments: tuple[Any, ...]
     ) -> None:
         self.clock = clock
         self.call = call
-        self.what = what
-        self.timer = clock.call_later(delay, self.reads)
+        self.arguments = arguments
+        self.timer = clock.call_later(delay, self._call_after_next_read)
 
-    def reads(self) -> None:
+    def _call_after_next_read(self) -> None:
         """Lets the loop read before the call."""
-        self.timer = self.clock.call_later(0, self.call, *self.what)
+        self.timer = self.clock.call_later(0, self.call, *self.arguments)
 
     def active(self) -> bool:
         """Returns whether the call is still to come."""
--- a/brambleplank/net/direct_connections.py
+++ b/brambleplank/net/direct_connections.py
@@ -15,9 +15,9 @@
 class DirectEndpointFactory:
     """Makes endpoints of numeric addresses: no name is looked up, and no thread is started for it."""
 
-    def __init__(self, within: float) -> None:
-        self.within = within  # seconds for a connection to come up
+    def __init__(self, timeout: float) -> None:
+        self.timeout = timeout  # seconds for a connection to come up
 
     def endpointForURI(self, uri: Any) -> TCP4ClientEndpoint:  # noqa: N802
         """Returns the endpoint of a URI whose host is an address."""
-        return TCP4ClientEndpoint(reactor, uri.host.decode().strip("[]"), uri.port, timeout=self.within)
+        return TCP4ClientEndpoint(reactor, uri.host.decode().strip("[]"), uri.port, timeout=self.timeout)
--- a/brambleplank/net/event_log.py
+++ b/brambleplank/net/event_log.py
@@ -20,22 +20,22 @@
 
     def client_ended(self, client: ClientConnection, age: float, turned_away: bool) -> None:
         """A client has its final answer, or its connection is closed; `age` is in seconds."""
-        where = client.upstreams[-1].endpoint.name if client.upstreams else "-"
+        server_name = client.upstreams[-1].endpoint.name if client.upstreams else "-"
         name = client.id or "-"
-        tries = len(client.upstreams)
+        attempts = len(client.upstreams)
         self.metrics.count("requests_ended", client.end_code)
         refusal = client.request.reject_reason if client.request else None
         if refusal:
             self.metrics.count("requests_refused", refusal.value)
         why = refusal.value if refusal else client.connection_error
-        text = f"end {client.end_code} {name} server={where} connects={tries} age={age:.3f}"
+        text = f"end {client.end_code} {name} server={server_name} connects={attempts} age={age:.3f}"
         self._log.write_line(
             f"{text} why={why}" if why else text,
             turned_away=turned_away,
             end=client.end_code,
             id=name,
-            server=where,
-            connects=tries,
+            server=server_name,
+            connects=attempts,
             age=round(age, 3),
             why=why,
         )
@@ -45,13 +45,13 @@
         self.metrics.count("attempts_ended", end.value)
         name = upstream.client.id
         number = upstream.attempt_number
-        where = upstream.endpoint.name
+        server_name = upstream.endpoint.name
         self._log.write_line(
-            f"attempt {name} number={number} server={where} result={end.value} delay={delay:.3f}",
+            f"attempt {name} number={number} server={server_name} result={end.value} delay={delay:.3f}",
             attempt=True,
             id=name,
             number=number,
-            server=where,
+            server=server_name,
             result=end.value,
             delay=round(delay, 3),
         )
--- a/brambleplank/net/fleet_link.py
+++ b/brambleplank/net/fleet_link.py
@@ -19,7 +19,7 @@
 from brambleplank.fleet.routing.lint import LintContext
 from brambleplank.fleet.server_observations import EJECTION_DURATION
 from brambleplank.fleet.shapes import REQUEST_BUDGETS, FleetSettings
-from brambleplank.interfaces import AdmissionVerdict, ClientConnection, RequestOpening
+from brambleplank.interfaces import AdmissionDecision, ClientConnection, RequestOpening
 from brambleplank.model import Address, Idempotency, Settings
 from brambleplank.net.clock import Clock
 from brambleplank.net.log import LogWriter, is_logged_occurrence
@@ -84,15 +84,15 @@
         self._tags = ServerTags([])
         self.fleet = self._join(seed, send)
         self.routing: ActiveRoutes | None = None
-        self.retiring: RetirementProgress | None = None
+        self.retirement_progress: RetirementProgress | None = None
         if fleet_settings.routes:
-            self._follow_routes(Path(fleet_settings.routes))
+            self._load_routes(Path(fleet_settings.routes))
         self.admission = RequestAdmission(
-            self.fleet, fleet_settings.table.budget, self.routing, self.retiring, notices
+            self.fleet, fleet_settings.table.budget, self.routing, self.retirement_progress, notices
         )
         self._ignored_datagrams = 0
         self._next_observation_at = 0.0
-        self._ejected: set[Server] = set()  # by other members' observations, as last looked
+        self._ejected_servers: set[Server] = set()  # by other members' observations, as last looked
         self._clock.call_later(0, self.tick)
 
     def _join(self, seed: int, send: Callable[[bytes, int | None], None]) -> FleetMember:
@@ -110,13 +110,13 @@
             self._fleet_settings.table.check,
         )
 
-    def _follow_routes(self, path: Path) -> None:
+    def _load_routes(self, path: Path) -> None:
         """Reads the first table of routes. Raises TableError or OSError."""
         text = path.read_bytes()
         self.routing = ActiveRoutes(
             self.fleet, self.lint_context, self.run_in_thread, text, self._log.write_line
         )
-        self.retiring = RetirementProgress(
+        self.retirement_progress = RetirementProgress(
             self.fleet,
             self.routing,
             self._clock.settled_wall_time,
@@ -129,8 +129,8 @@
         self._clock.call_later(TICK_INTERVAL, self.tick)
         now = self._clock.now()
         self.fleet.tick(now)
-        if self.retiring is not None:
-            self.retiring.tick(now)
+        if self.retirement_progress is not None:
+            self.retirement_progress.tick(now)
         if now >= self._next_observation_at:
             self._next_observation_at = now + OBSERVATION_INTERVAL
             self._mark_outliers(now)
@@ -143,11 +143,11 @@
         ejected = {servers[tag] for tag in self.fleet.server_observer.ejected_servers(now, list(servers))}
         for server in ejected:
             server.mark_slow(now + EJECTION_DURATION)
-            if server not in self._ejected:
+            if server not in self._ejected_servers:
                 self._log.write_line(
                     f"fleet: {server.id} is marked as an outlier: several members found it failing"
                 )
-        self._ejected = ejected
+        self._ejected_servers = ejected
 
     def datagram_received(self, data: bytes, member: int) -> None:
         """Reads a datagram of the member of that number; what is not of this fleet is ignored."""
@@ -186,13 +186,13 @@
 
     def _retirement_steps(self) -> dict[str, tuple[int, Step]]:
         """Returns how far each retirement is: the number of its step, and the step."""
-        if self.routing is None or self.retiring is None:
+        if self.routing is None or self.retirement_progress is None:
             return {}
         steps = {}
         for retirement in self.routing.table.retirements.values():
-            step = self.retiring.current_step(retirement)
+            step = self.retirement_progress.current_step(retirement)
             if step is not None:
-                steps[retirement.name] = (self.retiring.positions[retirement.name].step, step)
+                steps[retirement.name] = (self.retirement_progress.positions[retirement.name].step, step)
         return steps
 
     def run_in_thread(self, call: Callable[[], Any], done: Callable[[Any], None]) -> None:
@@ -202,7 +202,9 @@
         """
         result: Any = threads.deferToThreadPool(reactor, reactor.getThreadPool(), call)
         result.addCallback(done)
-        result.addErrback(lambda why: self._log.write_line(f"fleet: {type(why.value).__name__}: {why.value}"))
+        result.addErrback(
+            lambda failure: self._log.write_line(f"fleet: {type(failure.value).__name__}: {failure.value}")
+        )
 
     def servers_by_tag(self) -> dict[int, Server]:
         """Returns the servers that the list calls ready, as members name them to each other."""
@@ -230,7 +232,7 @@
             return
         self.routing.publish(self._clock.now(), text)
 
-    def admit(self, client: ClientConnection, opening: RequestOpening) -> AdmissionVerdict:
+    def admit(self, client: ClientConnection, opening: RequestOpening) -> AdmissionDecision:
         """Returns whether a new request may be attempted."""
         admitted, retry_after = self.admission.admit(
             self._clock.now(),
@@ -241,7 +243,7 @@
             opening.key,
             opening.group,
         )
-        return AdmissionVerdict(admitted, retry_after)
+        return AdmissionDecision(admitted, retry_after)
 
     def session_resumed(self, client: ClientConnection, opening: RequestOpening) -> None:
         """A session from before the start goes on."""
@@ -258,7 +260,7 @@
         """Returns the notice for an established client that asked for it; "": none."""
         return self.admission.retirement_notice(client)
 
-    def allows_further_attempt(self, client: ClientConnection) -> bool:
+    def allows_retry(self, client: ClientConnection) -> bool:
         """Returns whether a request may be attempted once more."""
         return self.admission.allow_further_attempt(self._clock.now(), client)
 
@@ -270,11 +272,11 @@
         """A request has its final answer, or a session has ended."""
         self.admission.request_ended(client, rejected)
 
-    def attempt_finished(self, server: Server, good: bool) -> None:
+    def attempt_finished(self, server: Server, succeeded: bool) -> None:
         """Reports how an attempt at a server went."""
         self.servers_by_tag()
         if (tag := self._tags.tag(server, MAX_TAG_WIDTH)) is not None:
-            self.fleet.server_observer.record_attempt(self._clock.now(), tag, good)
+            self.fleet.server_observer.record_attempt(self._clock.now(), tag, succeeded)
 
 
 class FleetDatagramProtocol(DatagramProtocol):
@@ -306,9 +308,9 @@
             if number != self.own_number and self.transport is not None:
                 try:
                     self.transport.write(data, self.addresses[number])
-                except OSError as failed:
+                except OSError as error:
                     if self._send_failed is not None:
-                        self._send_failed(failed.errno)
+                        self._send_failed(error.errno)
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
         """Hands on what members sent: anything else that reaches the port could act in their name."""
--- a/brambleplank/net/graceful_shutdown.py
+++ b/brambleplank/net/graceful_shutdown.py
@@ -12,8 +12,8 @@
 from brambleplank.net.log import LogWriter
 
 CHECK_INTERVAL = 0.1  # seconds
-LAST_ACCEPT = 0.5  # seconds after the begin in which clients may still connect
-LAST_READ = 0.5  # seconds after the end of the shutdown time in which answers may still be read
+ACCEPT_GRACE = 0.5  # seconds after the begin in which clients may still connect
+READ_GRACE = 0.5  # seconds after the end of the shutdown time in which answers may still be read
 
 
 class GracefulShutdown:
@@ -39,7 +39,7 @@
 
     def begin(self, has_successor: bool) -> None:
         """Begins to look; a successor accepts the clients that still connect, so they are not waited for."""
-        self._clock.call_after_reads(CHECK_INTERVAL if has_successor else LAST_ACCEPT, self.check)
+        self._clock.call_after_reads(CHECK_INTERVAL if has_successor else ACCEPT_GRACE, self.check)
 
     def check(self) -> None:
         """Ends the shutdown, or checks again later.
@@ -61,11 +61,11 @@
     def is_drained(self, now: float) -> bool:
         """Returns whether no client is left, and none that connects or reads its answer is waited for."""
         admission = self._admission
-        is_over = now >= self._balancer.shutdown_at
-        is_late = now >= self._balancer.shutdown_at + LAST_READ
+        is_overdue = now >= self._balancer.shutdown_at
+        is_read_grace_over = now >= self._balancer.shutdown_at + READ_GRACE
         connecting = admission.pending or admission.has_paused_listener()
         reading = admission.closing or admission.evicted
-        return not (self._clients or (connecting and not is_over) or (reading and not is_late))
+        return not (self._clients or (connecting and not is_overdue) or (reading and not is_read_grace_over))
 
     def _end_remaining(self) -> None:
         """Ends who has sent no request, and sessions whose server of before may never answer."""
--- a/brambleplank/net/health_probes.py
+++ b/brambleplank/net/health_probes.py
@@ -15,22 +15,22 @@
 from brambleplank.net.upstream_endpoint import upstream_endpoint_of
 from brambleplank.records import Server
 
-MIN_DELAYS = 4  # of a server, before anything is reported of it
-MIN_DELAYS_COMPARED = 2  # the same where other servers are known to compare with
-TYPICAL_QUANTILE = 4  # the lower quarter; with few delays, the half
-SAME_SIZE_SPREAD = 1.3  # times the typical delay of servers of its size that a sound server's may be
-ANY_SIZE_SPREAD = 2  # times the typical delay of other servers that a sound server's may be
-ZONE_JITTER = 0.1  # share of a delay that the way alone adds now and then
-REMOTE_JITTER = 0.25  # the same to a server of another zone
-LONG_EXCESS = 1 / 3  # of the work of a probe; a longer excess has to be confirmed
-LOST_AFTER = 5.0  # seconds; a probe that is still out by then is not coming back
-
-
-class SoundDelay(NamedTuple):
+MIN_SAMPLES = 4  # of a server, before anything is reported of it
+MIN_SAMPLES_WITH_BASELINE = 2  # the same where other servers are known to compare with
+TYPICAL_DELAY_DIVISOR = 4  # the lower quarter; with few delays, the half
+MAX_SAME_SIZE_RATIO = 1.3  # times the typical delay of servers of its size that a sound server's may be
+MAX_ANY_SIZE_RATIO = 2  # times the typical delay of other servers that a sound server's may be
+SAME_ZONE_JITTER = 0.1  # share of a delay that the way alone adds now and then
+CROSS_ZONE_JITTER = 0.25  # the same to a server of another zone
+CONFIRMATION_EXCESS = 1 / 3  # of the work of a probe; a longer excess has to be confirmed
+PROBE_TIMEOUT = 5.0  # seconds; a probe that is still out by then is not coming back
+
+
+class DelayBaseline(NamedTuple):
     """What the typical delay of a sound server is at most, as other servers show."""
 
     limit: float  # seconds; 0: there are too few to compare with
-    spread: float  # by which factor sound servers may lie apart
+    max_ratio: float  # by which factor sound servers may lie apart
 
 
 class HealthProbes:
@@ -47,8 +47,8 @@
         """`measured` gets the message time of a server in seconds; `open_probe` sends a first probe."""
         self.clock = clock
         self.settings = settings
-        self._ready = ready
-        self._measured = measured
+        self._ready_servers = ready
+        self._message_time_measured = measured
         self._open_probe = open_probe
         self._probes: dict[Server, HealthProbe] = {}
 
@@ -68,7 +68,7 @@
                 self._probes[server] = self._open_probe(self, server, address)
         elif not probe.sent_at:
             probe.send()
-        elif self.clock.now() > probe.sent_at + LOST_AFTER:
+        elif self.clock.now() > probe.sent_at + PROBE_TIMEOUT:
             # A dead machine neither answers nor ends the connection; the probe would wait for ever.
             probe.close()
 
@@ -86,34 +86,34 @@
         """A probe has been answered after a delay in seconds: reports what it says of message times."""
         server = probe.server
         endpoint = upstream_endpoint_of(server)
-        endpoint.add_delay(delay)
-        sound = self.sound_delay(server)
+        endpoint.record_probe_delay(delay)
+        baseline = self.delay_baseline(server)
         in_zone = self.is_in_zone(server)
-        is_comparable = in_zone and sound.limit > 0
-        if len(endpoint.probe_delays) < (MIN_DELAYS_COMPARED if is_comparable else MIN_DELAYS):
+        is_comparable = in_zone and baseline.limit > 0
+        if len(endpoint.probe_delays) < (MIN_SAMPLES_WITH_BASELINE if is_comparable else MIN_SAMPLES):
             if in_zone:
-                self._measured(server, 0.0)  # nothing to say yet, but other proxies can compare
+                self._message_time_measured(server, 0.0)  # nothing to say yet, but other proxies can compare
             return
-        excess = self.excess(server, delay, sound if is_comparable else None)
-        if excess > LONG_EXCESS and len(probe.unconfirmed_excesses) < (1 if in_zone else 2):
+        excess = self.excess(server, delay, baseline if is_comparable else None)
+        if excess > CONFIRMATION_EXCESS and len(probe.unconfirmed_excesses) < (1 if in_zone else 2):
             # One late packet looks like overload: a long delay counts once further probes confirm it.
             probe.unconfirmed_excesses.append(excess)
             probe.send()
             return
         confirmed = min([excess, *probe.unconfirmed_excesses])
         probe.unconfirmed_excesses.clear()
-        self._measured(server, confirmed * self.settings.shortest_message_objective)
+        self._message_time_measured(server, confirmed * self.settings.shortest_message_objective)
 
-    def excess(self, server: Server, delay: float, sound: SoundDelay | None) -> float:
+    def excess(self, server: Server, delay: float, baseline: DelayBaseline | None) -> float:
         """Returns by how much a delay is longer than typical, as a share of the work of a probe."""
         in_zone = self.is_in_zone(server)
         typical = self.typical_delay(server)
-        if sound is not None:
+        if baseline is not None:
             # A server that was slow before this proxy began would look typical while it is slow; one that
             # hung meanwhile answered at once, and would look slow ever after.
-            typical = max(min(typical, sound.limit), sound.limit / sound.spread**2)
-        work = typical if in_zone else self.typical_work() or typical
-        jitter = ZONE_JITTER if in_zone else REMOTE_JITTER
+            typical = max(min(typical, baseline.limit), baseline.limit / baseline.max_ratio**2)
+        work = typical if in_zone else self.typical_probe_work() or typical
+        jitter = SAME_ZONE_JITTER if in_zone else CROSS_ZONE_JITTER
         return (delay - (1 + jitter) * typical) / work
 
     def is_in_zone(self, server: Server) -> bool:
@@ -125,7 +125,7 @@
         delays = sorted(upstream_endpoint_of(server).probe_delays)
         if not delays:
             return 0.0
-        return delays[len(delays) // (TYPICAL_QUANTILE if len(delays) >= MIN_DELAYS else 2)]
+        return delays[len(delays) // (TYPICAL_DELAY_DIVISOR if len(delays) >= MIN_SAMPLES else 2)]
 
     def take_unreported_delay(self, server: Server) -> float:
         """Returns the typical delay if other proxies do not have it yet, and takes it as reported; else 0.
@@ -135,8 +135,8 @@
         typical = self.typical_delay(server)
         endpoint = upstream_endpoint_of(server)
         reported = endpoint.reported_typical_delay
-        has_few = len(endpoint.probe_delays) < MIN_DELAYS_COMPARED
-        if has_few or not self.is_in_zone(server) or abs(typical - reported) <= ZONE_JITTER * reported:
+        has_few = len(endpoint.probe_delays) < MIN_SAMPLES_WITH_BASELINE
+        if has_few or not self.is_in_zone(server) or abs(typical - reported) <= SAME_ZONE_JITTER * reported:
             return 0.0
         endpoint.record_typical_delay(typical)
         return typical
@@ -147,26 +147,28 @@
             return self.typical_delay(server)
         return upstream_endpoint_of(server).reported_typical_delay
 
-    def sound_delay(self, server: Server) -> SoundDelay:
+    def delay_baseline(self, server: Server) -> DelayBaseline:
         """Returns the typical delay that a sound server has at most, as the others show.
 
         Its limit is 0 with fewer than two to compare with, as either may be the odd one. Where most servers
         are late, the typical delay of most of them is late too: so machines of one size are compared, and a
         low one of them taken; only where there are none, machines that may differ.
         """
-        others = [other for other in self._ready() if other is not server]
+        others = [other for other in self._ready_servers() if other is not server]
         same_size = [other for other in others if other.size == server.size]
         delays = self.known_delays(same_size)
         if len(delays) > 1:
-            return SoundDelay(SAME_SIZE_SPREAD * delays[(len(delays) - 1) // 4 or 1], SAME_SIZE_SPREAD)
+            return DelayBaseline(
+                MAX_SAME_SIZE_RATIO * delays[(len(delays) - 1) // 4 or 1], MAX_SAME_SIZE_RATIO
+            )
         delays = self.known_delays(others)
         if len(delays) > 1:
-            return SoundDelay(ANY_SIZE_SPREAD * delays[(len(delays) - 1) // 2], ANY_SIZE_SPREAD)
-        return SoundDelay(0.0, ANY_SIZE_SPREAD)
+            return DelayBaseline(MAX_ANY_SIZE_RATIO * delays[(len(delays) - 1) // 2], MAX_ANY_SIZE_RATIO)
+        return DelayBaseline(0.0, MAX_ANY_SIZE_RATIO)
 
-    def typical_work(self) -> float:
+    def typical_probe_work(self) -> float:
         """Returns what most probes take at servers that are not overloaded; 0: not known."""
-        delays = self.known_delays(self._ready())
+        delays = self.known_delays(self._ready_servers())
         return delays[(len(delays) - 1) // 2] if delays else 0.0
 
     def known_delays(self, servers: list[Server]) -> list[float]:
--- a/brambleplank/net/local_faults.py
+++ b/brambleplank/net/local_faults.py
@@ -14,10 +14,10 @@
 from brambleplank.errors import BrambleplankError
 from brambleplank.net.log import is_logged_occurrence
 
-Made = TypeVar("Made")
+Created = TypeVar("Created")
 RETRY_INTERVAL = 0.02  # seconds, at a start; nothing else runs in this process yet
 # Of a connect call: raised before anything left this machine, or for want of something that only it has.
-CONNECT_ERRORS = frozenset(
+LOCAL_CONNECT_ERRORS = frozenset(
     (
         errno.EADDRNOTAVAIL,
         errno.EADDRINUSE,
@@ -33,13 +33,13 @@
     )
 )
 # The same if the call itself fails; of a connection that was on its way they come from the network.
-CONNECT_ERRORS_AT_ONCE = CONNECT_ERRORS | {errno.ENETUNREACH}
+LOCAL_IMMEDIATE_CONNECT_ERRORS = LOCAL_CONNECT_ERRORS | {errno.ENETUNREACH}
 # Of a socket that is made or bound: usually over soon.
 TRANSIENT_ERRORS = frozenset(
     (errno.EADDRINUSE, errno.EAGAIN, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 )
 # Of an accept: of the one connection that was to be accepted.
-ACCEPT_NEXT = frozenset((errno.ECONNABORTED, errno.EPERM, errno.EPROTO, errno.EINTR))
+SINGLE_CONNECTION_ACCEPT_ERRORS = frozenset((errno.ECONNABORTED, errno.EPERM, errno.EPROTO, errno.EINTR))
 
 
 class LocalConnectError(BrambleplankError, ConnectError):
@@ -53,17 +53,17 @@
         self.number = number
 
 
-def retry_transient(make: Callable[[], Made], within: float) -> Made:
+def retry_transient(create: Callable[[], Created], timeout: float) -> Created:
     """Calls again for `within` seconds while a transient fault of this machine is in the way.
 
     It blocks, so only a start may use it. Raises OSError.
     """
-    until = time.monotonic() + within
+    deadline = time.monotonic() + timeout
     while True:
         try:
-            return make()
-        except OSError as failed:
-            if failed.errno not in TRANSIENT_ERRORS or time.monotonic() >= until:
+            return create()
+        except OSError as error:
+            if error.errno not in TRANSIENT_ERRORS or time.monotonic() >= deadline:
                 raise
         time.sleep(RETRY_INTERVAL)
 
--- a/brambleplank/net/log.py
+++ b/brambleplank/net/log.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 MAX_LINES_PER_SECOND = 200
-MAX_TURNED_AWAY = 20  # of these, about clients that were turned away
-MAX_ATTEMPTS = 40  # of these, about attempts that were not established
+MAX_TURNED_AWAY_LINES = 20  # of these, about clients that were turned away
+MAX_ATTEMPT_LINES = 40  # of these, about attempts that were not established
 
 
 def format_plain_line(now: float, text: str, fields: dict[str, Any]) -> str:  # noqa: ARG001
@@ -31,13 +31,13 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        form: Callable[[float, str, dict[str, Any]], str] = format_plain_line,
+        format_line: Callable[[float, str, dict[str, Any]], str] = format_plain_line,
     ) -> None:
         """`form` makes a line of a time, a text and the fields of the text."""
         self._clock = clock
-        self._form = form
+        self._format_line = format_line
         self._second = 0
-        self._printed = 0
+        self._written = 0
         self._dropped = 0
         self._turned_away = 0
         self._attempts = 0
@@ -48,22 +48,22 @@
         if int(now) != self._second:
             if self._dropped:
                 dropped = f"log: {self._dropped} lines dropped"
-                self.print_line(self._form(now, dropped, {"dropped": self._dropped}))
+                self.print_line(self._format_line(now, dropped, {"dropped": self._dropped}))
             self._second = int(now)
-            self._printed = 0
+            self._written = 0
             self._dropped = 0
             self._turned_away = 0
             self._attempts = 0
         self._turned_away += turned_away
         self._attempts += attempt
-        too_many = (turned_away and self._turned_away > MAX_TURNED_AWAY) or (
-            attempt and self._attempts > MAX_ATTEMPTS
+        too_many = (turned_away and self._turned_away > MAX_TURNED_AWAY_LINES) or (
+            attempt and self._attempts > MAX_ATTEMPT_LINES
         )
-        if self._printed >= MAX_LINES_PER_SECOND or too_many:
+        if self._written >= MAX_LINES_PER_SECOND or too_many:
             self._dropped += 1
             return
-        self._printed += 1
-        self.print_line(self._form(now, text, fields))
+        self._written += 1
+        self.print_line(self._format_line(now, text, fields))
 
     @staticmethod
     def print_line(line: str) -> None:
--- a/brambleplank/net/message_times.py
+++ b/brambleplank/net/message_times.py
@@ -13,7 +13,7 @@
 
 SWEEP_INTERVAL = 0.1  # seconds
 SILENCE_THRESHOLD = 1.0  # seconds after which a line without an answer is reported
-LONG_DIVISOR = 3  # a message time is long from this part of the shortest objective for messages on
+LONG_TIME_DIVISOR = 3  # a message time is long from this part of the shortest objective for messages on
 REPORT_INTERVAL = 1.0  # seconds between two reports of one server, at least
 
 
@@ -39,7 +39,7 @@
         longest = self.longest_waits(now)
         for server in list(self._balancer.servers.values()):
             endpoint = upstream_endpoint_of(server)
-            endpoint.record_wait(longest.get(endpoint, 0.0))
+            endpoint.record_longest_wait(longest.get(endpoint, 0.0))
             # Probes report the end of a slow spell; without them it is reported here.
             was_slow = endpoint.reported_slow and not endpoint.probe_delays
             is_due = self.is_long(endpoint.longest_wait) or was_slow
@@ -61,7 +61,7 @@
 
     def is_long(self, seconds: float) -> bool:
         """Returns whether a message time is long enough to be reported again and again."""
-        return seconds > self._settings.shortest_message_objective / LONG_DIVISOR
+        return seconds > self._settings.shortest_message_objective / LONG_TIME_DIVISOR
 
     def record_message_time(self, server: Server, seconds: float) -> None:
         """Reports how long messages take at a server, by a probe or by the lines that wait there.
--- a/brambleplank/net/metrics.py
+++ b/brambleplank/net/metrics.py
@@ -26,10 +26,10 @@
         """Adds one to a counter."""
         self.counters.setdefault(name, Counter())[label] += 1
 
-    def text(self, more: Mapping[str, Mapping[str, int]]) -> str:
+    def text(self, other_counters: Mapping[str, Mapping[str, int]]) -> str:
         """Returns all counters, these and those that others keep, by name and label."""
         lines = []
-        for name, counts in sorted({**self.counters, **more}.items()):
+        for name, counts in sorted({**self.counters, **other_counters}.items()):
             lines.append(f"# HELP brambleplank_{name}_total {HELP[name]}")
             lines.append(f"# TYPE brambleplank_{name}_total counter")
             for label, count in sorted(counts.items()):
--- a/brambleplank/net/operator_commands.py
+++ b/brambleplank/net/operator_commands.py
@@ -90,7 +90,7 @@
             self._balancer.begin_shutdown(self._clock.now())
         self._log.write_line("operator: drain" + (" (it was)" if self.draining else ""))
         self.draining = True
-        self._siblings.command_carried_out(CommandKind.DRAIN)
+        self._siblings.broadcast_command(CommandKind.DRAIN)
         return CommandResult(True, "draining")
 
     def resume(self) -> CommandResult:
@@ -101,7 +101,7 @@
         if self.draining:
             self.draining = False
             self._balancer.cancel_shutdown(self._clock.now())
-        self._siblings.command_carried_out(CommandKind.RESUME)
+        self._siblings.broadcast_command(CommandKind.RESUME)
         return CommandResult(True, "taking flows")
 
     def adopt_drain(self, now: float) -> None:
@@ -110,7 +110,7 @@
         self._balancer.begin_shutdown(now)
 
     def _persist(self, command: CommandKind, server_id: str, text: str) -> CommandResult:
-        if self._siblings.command_carried_out(command, server_id):
+        if self._siblings.broadcast_command(command, server_id):
             return CommandResult(True, text)
         return CommandResult(
             False, f"{text} here, and not written yet: a restart would forget it; call again"
--- a/brambleplank/net/peer_exchange.py
+++ b/brambleplank/net/peer_exchange.py
@@ -57,8 +57,8 @@
         """Returns how proxies name the servers to each other."""
         if self._server_tags is None:
             self._server_tags = ServerTags(self._balancer.servers.values())
-            if nameless := self._server_tags.ambiguous_servers():
-                names = " and ".join(server.id for server in nameless)
+            if ambiguous := self._server_tags.ambiguous_servers():
+                names = " and ".join(server.id for server in ambiguous)
                 self._log.write_line(f"peers: {names} are left out of reports: their tags collide")
         return self._server_tags
 
@@ -70,13 +70,17 @@
         endpoint.record_typical_delay(typical_delay or endpoint.reported_typical_delay)
         self._balancer.message_time_reported(self._clock.now(), server, seconds)
 
-    def load_report_received(self, peer: int, held: dict[Server, int], whole: bool, summed: bool) -> None:
+    def load_report_received(
+        self, peer: int, connections: dict[Server, int], complete: bool, is_aggregate: bool
+    ) -> None:
         """Connections by server at a peer, or summed over the fleet; `whole`: it has none elsewhere."""
-        self._balancer.load_report_received(self._clock.now(), peer, held.items(), whole, summed)
+        self._balancer.load_report_received(
+            self._clock.now(), peer, connections.items(), complete, is_aggregate
+        )
 
-    def permit_message_received(self, peer: int, server: Server, word: int) -> None:
+    def permit_message_received(self, peer: int, server: Server, message: int) -> None:
         """A request for a slow-start permit, or the answer to one."""
-        self._balancer.permit_message_received(self._clock.now(), peer, server, word)
+        self._balancer.permit_message_received(self._clock.now(), peer, server, message)
 
     def group_server_received(self, ring_position: int, server: Server) -> None:
         """Where an affinity group is placed."""
@@ -90,7 +94,11 @@
             link.report_message_time(server, seconds, self._health_probes.take_unreported_delay(server))
 
     def send_load_report(
-        self, held: Iterable[tuple[Server, int]], whole: bool, to: int | None, summed: bool
+        self,
+        connections: Iterable[tuple[Server, int]],
+        complete: bool,
+        recipient: int | None,
+        is_aggregate: bool,
     ) -> None:
         """Sends connections by server to one peer, or to all of them (None)."""
         link = self._active_link()
@@ -98,16 +106,16 @@
             return
         # Without the predecessor's connections, those that it hands off would look like new ones to others.
         at_predecessor = self._siblings.connections_at_predecessor
-        counts = {server: count + at_predecessor(server) for server, count in held}
-        for server in self._balancer.ready_servers if whole else ():
+        counts = {server: count + at_predecessor(server) for server, count in connections}
+        for server in self._balancer.ready_servers if complete else ():
             if server not in counts and (count := at_predecessor(server)):
                 counts[server] = count
-        link.send_load_report(counts, whole, to, summed)
+        link.send_load_report(counts, complete, recipient, is_aggregate)
 
-    def send_permit_message(self, server: Server, to: int, word: int) -> None:
+    def send_permit_message(self, server: Server, recipient: int, message: int) -> None:
         """Asks a peer for a slow-start permit, or answers one that asked."""
         if link := self._active_link():
-            link.send_permit_message(server, to, word)
+            link.send_permit_message(server, recipient, message)
 
     def report_group_servers(self, group_servers: Iterable[tuple[int, Server]]) -> None:
         """Reports where affinity groups are placed."""
--- a/brambleplank/net/peer_link.py
+++ b/brambleplank/net/peer_link.py
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        soon: Callable[[Callable[[], None]], object],
+        defer: Callable[[Callable[[], None]], object],
         tags: Callable[[], ServerTags],
         message_time_received: Callable[[Server, float, float], None],
         load_report_received: Callable[[int, dict[Server, int], bool, bool], None],
@@ -39,7 +39,7 @@
         super().__init__(
             self.write,
             MAX_DATAGRAM_SIZE,
-            soon,
+            defer,
             tags,
             message_time_received,
             load_report_received,
@@ -59,15 +59,17 @@
         """Registers who reads the datagrams of a further form, each with the number of its sender."""
         self._readers[first_byte] = read
 
-    def write(self, message: bytes, to: int | None) -> None:
+    def write(self, message: bytes, recipient: int | None) -> None:
         """Sends a datagram to the proxy of that number, or to all of them (None)."""
-        if self.known and (to is None or to in self.known):
+        if self.known and (recipient is None or recipient in self.known):
             try:
-                self.transport.write(message, self.broadcast_address if to is None else self.known[to])
-            except OSError as failed:
+                self.transport.write(
+                    message, self.broadcast_address if recipient is None else self.known[recipient]
+                )
+            except OSError as error:
                 # As if lost on its way, which every reader has to bear; the other messages still go out.
                 if self._send_failed is not None:
-                    self._send_failed(failed.errno)
+                    self._send_failed(error.errno)
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
         """Reads what known proxies sent: anything else could report every server as overloaded."""
--- a/brambleplank/net/proxy.py
+++ b/brambleplank/net/proxy.py
@@ -34,7 +34,7 @@
 from brambleplank.net.upstream_endpoint import upstream_endpoint_of
 from brambleplank.records import Request, Server
 
-PROBES_FROM = 1 / 4  # share of the descriptors that must be free for a probe
+MIN_FREE_SHARE_FOR_PROBES = 1 / 4  # share of the descriptors that must be free for a probe
 
 
 class Proxy:
@@ -121,7 +121,7 @@
 
     def adopt_state(self, started: float, serving: bool) -> None:
         """Goes on with the start time and the readiness of the process before."""
-        self.requests.resumed_sessions.adopt_start(started)
+        self.requests.resumed_sessions.adopt_start_time(started)
         self.serving = serving
 
     @property
@@ -259,12 +259,12 @@
             now, request, upstream.attempt_number, outcome, now - upstream.started_at, request.answered
         )
 
-    def reject(self, request: Request, pause: float) -> None:
+    def reject(self, request: Request, retry_after: float) -> None:
         """Answers a request that trying again is harmless, best after `pause` seconds (0: no advice)."""
         client: ClientConnection = request.handle
         client.request = request  # the log says why; it may be rejected before it is placed
         self.invariants.request_rejected(client.id, request)
-        client.reject(pause)
+        client.reject(retry_after)
 
     def abort(self, request: Request) -> None:
         """Answers a request that it may or may not have run."""
@@ -285,7 +285,7 @@
     def probe(self, server: Server) -> None:
         """Probes a server, where that is allowed and does not take a scarce descriptor."""
         # Near the limit, a probe would take a descriptor that the list of servers or an answer needs.
-        has_room = self.admission.free_share() > PROBES_FROM
+        has_room = self.admission.free_share() > MIN_FREE_SHARE_FOR_PROBES
         if self.settings.probes_endpoints and not self.siblings.has_successor and has_room:
             self.health_probes.send(server)
 
@@ -294,14 +294,18 @@
         self.peer_exchange.report_message_time(server, seconds)
 
     def send_load_report(
-        self, held: Iterable[tuple[Server, int]], whole: bool, to: int | None, summed: bool
+        self,
+        connections: Iterable[tuple[Server, int]],
+        complete: bool,
+        recipient: int | None,
+        is_aggregate: bool,
     ) -> None:
         """Sends connections by server to one proxy, or to all of them (None)."""
-        self.peer_exchange.send_load_report(held, whole, to, summed)
+        self.peer_exchange.send_load_report(connections, complete, recipient, is_aggregate)
 
-    def send_permit_message(self, server: Server, to: int, word: int) -> None:
+    def send_permit_message(self, server: Server, recipient: int, message: int) -> None:
         """Asks a proxy for a slow-start permit, or answers one that asked."""
-        self.peer_exchange.send_permit_message(server, to, word)
+        self.peer_exchange.send_permit_message(server, recipient, message)
 
     def report_group_servers(self, group_servers: Iterable[tuple[int, Server]]) -> None:
         """Reports where affinity groups are placed to the other proxies."""
@@ -328,10 +332,10 @@
 
     # Exceptions and shutdown.
 
-    def call_or_abort(self, client: ClientConnection, call: Callable[..., None], *what: object) -> None:
+    def call_or_abort(self, client: ClientConnection, call: Callable[..., None], *arguments: object) -> None:
         """Calls; an exception is logged and answered, or the client would wait for an answer in vain."""
         try:
-            call(*what)
+            call(*arguments)
         except Exception as error:
             self.report_exception(error, error.__traceback__)
             client.abort("fault")
--- a/brambleplank/net/request_lifecycle.py
+++ b/brambleplank/net/request_lifecycle.py
@@ -21,10 +21,10 @@
 
 # Reason codes of requests that were answered without being established here, or whose client has left;
 # "broke" is a session that ended while it was handed off to this process.
-ANSWERED = frozenset(
+ANSWERED_END_CODES = frozenset(
     ("rejected", "aborted", "unplaced", "early", "fault", "overdue", "left", "handed", "broke")
 )
-FAILURES = (
+FAILURE_OUTCOMES = (
     AttemptOutcome.ERROR,
     AttemptOutcome.TIMEOUT,
     AttemptOutcome.UNREACHABLE,
@@ -56,7 +56,7 @@
         self.clients: dict[ClientConnection, None] = {}  # with a request or session, oldest first
         self.fleet_admission: FleetAdmission | None = None
         self.is_shutting_down = False
-        self._retrying: ClientConnection | None = None  # whose attempt has just failed
+        self._retrying_client: ClientConnection | None = None  # whose attempt has just failed
 
     def set_fleet_admission(self, fleet_admission: FleetAdmission) -> None:
         """Registers what this process shares with the other proxies of its fleet."""
@@ -72,13 +72,13 @@
 
     def take_retry_permission(self) -> bool:
         """Returns whether the fleet allows the attempt that is being decided on; asked once an attempt."""
-        client = self._retrying
-        self._retrying = None
+        client = self._retrying_client
+        self._retrying_client = None
         return (
             client is None
             or self.fleet_admission is None
             or bool(client.end_code)
-            or self.fleet_admission.allows_further_attempt(client)
+            or self.fleet_admission.allows_retry(client)
         )
 
     # Of clients.
@@ -87,15 +87,15 @@
         self,
         client: ClientConnection,
         opening: RequestOpening,
-        wait: float,
+        answer_timeout: float,
         reconnecting: bool,
     ) -> None:
         """A client has opened a request; its answer is due at `client.opened_at + wait` (seconds)."""
         self.clients[client] = None
         if self.fleet_admission:
-            verdict = self.fleet_admission.admit(client, opening)
-            if not verdict.admitted:
-                client.reject(self.retry_after(verdict.retry_after))
+            decision = self.fleet_admission.admit(client, opening)
+            if not decision.admitted:
+                client.reject(self.retry_after(decision.retry_after))
                 return
         client.request = self.balancer.request_received(
             self.clock.now(),
@@ -103,25 +103,25 @@
             self.settings.traffic_classes[opening.traffic_class],
             opening.key,
             opening.group,
-            client.opened_at + wait,
+            client.opened_at + answer_timeout,
             False,
             reconnecting,
         )
 
-    def retry_after(self, pause: float | None) -> float:
+    def retry_after(self, requested_delay: float | None) -> float:
         """Returns after how many seconds a rejected client should come again: spread, as they come in waves.
 
         `pause` is what a rule says of it, if one does.
         """
-        longest = self.settings.max_retry_after
-        if pause is not None:
-            longest = min(pause, longest)
-        return longest * self.balancer.rng.uniform(0.5, 1.0) if self.settings.may_send_retry_after else 0.0
+        max_delay = self.settings.max_retry_after
+        if requested_delay is not None:
+            max_delay = min(requested_delay, max_delay)
+        return max_delay * self.balancer.rng.uniform(0.5, 1.0) if self.settings.may_send_retry_after else 0.0
 
     def session_resumed(self, client: ClientConnection, opening: RequestOpening, server_id: str) -> None:
         """A client goes on with a session that was open at a server before this proxy began."""
         self.clients[client] = None
-        server = self.resumed_sessions.server_of(server_id, self.settings.drain_grace)
+        server = self.resumed_sessions.resumable_server(server_id, self.settings.drain_grace)
         if server is None:
             client.abort("unplaced")
             return
@@ -166,7 +166,7 @@
         self.event_log.client_ended(client, age, turned_away)
         if client.id:
             self.admission.request_ended(client.id)
-            if client.end_code not in ANSWERED and client.established_upstream is None:
+            if client.end_code not in ANSWERED_END_CODES and client.established_upstream is None:
                 self.invariants.request_unanswered(client.id, f"ended as {client.end_code}, with no answer")
         if self.fleet_admission:
             self.fleet_admission.request_ended(client, client.end_code == "rejected")
@@ -231,12 +231,12 @@
             client.close_from_upstream(upstream.end_code(outcome), reset)
         else:
             self.event_log.attempt_failed(upstream, outcome, now - upstream.started_at)
-            if client.resumed_session and not self.resumed_sessions.redial(client, outcome):
+            if client.resumed_session and not self.resumed_sessions.retry_connect(client, outcome):
                 client.abort("unplaced")
         if client.request:
             if self.fleet_admission and not upstream.established:
-                self._retrying = client
-                if outcome in FAILURES:
+                self._retrying_client = client
+                if outcome in FAILURE_OUTCOMES:
                     self.fleet_admission.attempt_finished(
                         client.request.attempts[upstream.attempt_number].server, False
                     )
@@ -248,7 +248,7 @@
                 now - upstream.started_at,
                 bool(client.end_code),
             )
-            self._retrying = None
+            self._retrying_client = None
 
 
 def outcome_of_disconnect(upstream: UpstreamConnection, reset: bool) -> AttemptOutcome:
--- a/brambleplank/net/resumed_sessions.py
+++ b/brambleplank/net/resumed_sessions.py
@@ -8,9 +8,9 @@
 from brambleplank.net.clock import Clock
 from brambleplank.records import Server
 
-REDIAL_DELAY = 0.1  # seconds
+CONNECT_RETRY_DELAY = 0.1  # seconds
 RESUME_WINDOW = 40.0  # seconds after the start in which sessions from before it are resumed
-UNREACHED = (AttemptOutcome.UNREACHABLE, AttemptOutcome.LOCAL_FAULT)
+UNREACHED_OUTCOMES = (AttemptOutcome.UNREACHABLE, AttemptOutcome.LOCAL_FAULT)
 
 
 class ResumedSessions:
@@ -21,11 +21,11 @@
         self._clock = clock
         self._balancer = balancer
 
-    def adopt_start(self, started_at: float) -> None:
+    def adopt_start_time(self, started_at: float) -> None:
         """Goes on with the start time of the process before."""
         self.started_at = started_at
 
-    def server_of(self, server_id: str, drain_grace: float) -> Server | None:
+    def resumable_server(self, server_id: str, drain_grace: float) -> Server | None:
         """Returns the server at which a session may go on; None if it may not.
 
         A client may say at any time that it has a session. Outside of the window, and at a server that has
@@ -40,17 +40,17 @@
             return None
         return server
 
-    def redial(self, client: ClientConnection, outcome: AttemptOutcome) -> bool:
+    def retry_connect(self, client: ClientConnection, outcome: AttemptOutcome) -> bool:
         """Dials a server again soon that could not be reached; returns whether it is.
 
         One lost packet at the start, where all clients dial at once, would otherwise end a session.
         """
-        if outcome not in UNREACHED or self._clock.now() >= self.started_at + RESUME_WINDOW:
+        if outcome not in UNREACHED_OUTCOMES or self._clock.now() >= self.started_at + RESUME_WINDOW:
             return False
-        self._clock.call_later(REDIAL_DELAY, self._dial_again, client)
+        self._clock.call_later(CONNECT_RETRY_DELAY, self._connect_again, client)
         return True
 
     @staticmethod
-    def _dial_again(client: ClientConnection) -> None:
+    def _connect_again(client: ClientConnection) -> None:
         if not client.end_code:
             client.open_upstream(client.upstreams[-1].endpoint, 0.0)
--- a/brambleplank/net/sibling_processes.py
+++ b/brambleplank/net/sibling_processes.py
@@ -21,7 +21,7 @@
 class SiblingChannel(Protocol):
     """Carries messages between two processes of one proxy."""
 
-    def relay_command(self, call: CommandKind, server_id: str) -> bool:
+    def relay_command(self, command: CommandKind, server_id: str) -> bool:
         """Relays an operator command that was carried out here; returns whether it outlives this process."""
 
     def hand_off(self, client: ClientConnection) -> None:
@@ -67,6 +67,6 @@
         """Returns the connections at a server that the predecessor still holds."""
         return self._channel.connections_at_predecessor(server) if self._channel is not None else 0
 
-    def command_carried_out(self, command: CommandKind, server_id: str = "") -> bool:
+    def broadcast_command(self, command: CommandKind, server_id: str = "") -> bool:
         """Relays an operator command to the other processes; returns whether it outlives this process."""
         return self._channel.relay_command(command, server_id) if self._channel is not None else True
--- a/brambleplank/net/signals.py
+++ b/brambleplank/net/signals.py
@@ -16,18 +16,18 @@
     """
 
     def __init__(self) -> None:
-        self.wanted = False
-        signal.signal(signal.SIGHUP, self.note)
+        self.pending = False
+        signal.signal(signal.SIGHUP, self.handle_signal)
 
-    def note(self, number: int, frame: FrameType | None) -> None:  # noqa: ARG002
+    def handle_signal(self, number: int, frame: FrameType | None) -> None:  # noqa: ARG002
         """Handles the signal."""
-        self.wanted = True
+        self.pending = True
 
-    def install(self, read_again: Callable[[], None]) -> None:
+    def install(self, reload: Callable[[], None]) -> None:
         """From here on has the reactor read it again, and once at its start if a signal came meanwhile."""
-        signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(read_again))
-        if self.wanted:
-            reactor.callFromThread(read_again)
+        signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload))
+        if self.pending:
+            reactor.callFromThread(reload)
 
 
 def block_exit_signals() -> None:
--- a/brambleplank/net/unix.py
+++ b/brambleplank/net/unix.py
@@ -21,7 +21,7 @@
     ADVICE = "end what listens there, or name another path"
 
 
-class UnixIncoming(PooledConnection, unix.Server):
+class UnixClientTransport(PooledConnection, unix.Server):
     """A client's connection on a Unix socket."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
@@ -31,7 +31,7 @@
 class UnixListener(PausableListener, unix.Port):
     """Accepts as many connections as its factory has room for; the others wait in the kernel."""
 
-    transport = UnixIncoming
+    transport = UnixClientTransport
 
 
 class SocketPathLock:
@@ -44,31 +44,31 @@
     def __init__(self, path: str) -> None:
         self.path = path
         try:
-            self.lock = os.open(f"{path}.lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+            self.lock_descriptor = os.open(f"{path}.lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         except OSError as error:
             raise SocketPathError(f"{path}.lock: {error.strerror}") from None
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self.lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             self.remove_stale_socket()
         except OSError:
-            os.close(self.lock)
+            os.close(self.lock_descriptor)
             raise SocketPathError(f"{path}: held by a living sidecar") from None
         except SocketPathError:
-            os.close(self.lock)
+            os.close(self.lock_descriptor)
             raise
 
     def remove_stale_socket(self) -> None:
         """Removes the socket that a killed sidecar left at the path. Raises SocketPathError."""
         try:
-            kind = os.lstat(self.path).st_mode
+            mode = os.lstat(self.path).st_mode
         except FileNotFoundError:
             return
-        if not stat.S_ISSOCK(kind):
+        if not stat.S_ISSOCK(mode):
             raise SocketPathError(f"{self.path}: there, and no socket")
-        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as caller:
-            caller.settimeout(0.2)
+        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as client:
+            client.settimeout(0.2)
             try:
-                caller.connect(self.path)
+                client.connect(self.path)
             except ConnectionRefusedError:
                 Path(self.path).unlink()
                 return
@@ -78,7 +78,7 @@
 
     def release(self) -> None:
         """Releases the path. The lock's file stays: another process could hold a lock on a removed one."""
-        os.close(self.lock)
+        os.close(self.lock_descriptor)
 
 
 def create_unix_listener(
--- a/brambleplank/net/upstream_endpoint.py
+++ b/brambleplank/net/upstream_endpoint.py
@@ -5,7 +5,7 @@
 from brambleplank.model import Address
 from brambleplank.records import Server
 
-MAX_DELAYS = 64  # of probes, remembered of a server
+MAX_PROBE_DELAYS = 64  # of probes, remembered of a server
 
 
 class UpstreamEndpoint:
@@ -26,17 +26,17 @@
         """Sets where new connections go."""
         self.address = address
 
-    def add_delay(self, delay: float) -> None:
+    def record_probe_delay(self, delay: float) -> None:
         """Remembers the delay of a probe, and forgets the oldest where there are too many."""
-        self.probe_delays[:] = [*self.probe_delays[1 - MAX_DELAYS :], delay]
+        self.probe_delays[:] = [*self.probe_delays[1 - MAX_PROBE_DELAYS :], delay]
 
     def record_typical_delay(self, delay: float) -> None:
         """Records the typical delay that this or another proxy has reported."""
         self.reported_typical_delay = delay
 
-    def record_wait(self, waiting: float) -> None:
+    def record_longest_wait(self, longest_wait: float) -> None:
         """Records for how long the oldest line has been without an answer; 0: none is."""
-        self.longest_wait = waiting
+        self.longest_wait = longest_wait
 
     def record_report(self, is_long: bool, now: float) -> None:
         """Records that the message time was reported, and whether it was long."""
--- a/brambleplank/peer_messages.py
+++ b/brambleplank/peer_messages.py
@@ -38,36 +38,36 @@
 
     PERMIT = 0
     LOAD_CHANGES = 1
-    WHOLE_LOAD = 2
+    COMPLETE_LOAD = 2
     MESSAGE_TIME = 3
     MESSAGE_AND_PROBE_TIME = 4
     GROUP_SERVER = 5
     AGGREGATE_CHANGES = 6
-    WHOLE_AGGREGATE = 7
+    COMPLETE_AGGREGATE = 7
 
 
-NUMBERS = {
+VARINTS_PER_ENTRY = {
     SectionKind.PERMIT: 1,
     SectionKind.LOAD_CHANGES: 1,
-    SectionKind.WHOLE_LOAD: 1,
+    SectionKind.COMPLETE_LOAD: 1,
     SectionKind.MESSAGE_TIME: 1,
     SectionKind.MESSAGE_AND_PROBE_TIME: 2,
     SectionKind.GROUP_SERVER: 0,
     SectionKind.AGGREGATE_CHANGES: 1,
-    SectionKind.WHOLE_AGGREGATE: 1,
+    SectionKind.COMPLETE_AGGREGATE: 1,
 }  # of an entry, after its tag
-WHOLE_KINDS = (SectionKind.WHOLE_LOAD, SectionKind.WHOLE_AGGREGATE)
-AGGREGATE_KINDS = (SectionKind.AGGREGATE_CHANGES, SectionKind.WHOLE_AGGREGATE)
-LOAD_KINDS = (SectionKind.LOAD_CHANGES, SectionKind.WHOLE_LOAD, *AGGREGATE_KINDS)
+COMPLETE_KINDS = (SectionKind.COMPLETE_LOAD, SectionKind.COMPLETE_AGGREGATE)
+AGGREGATE_KINDS = (SectionKind.AGGREGATE_CHANGES, SectionKind.COMPLETE_AGGREGATE)
+LOAD_KINDS = (SectionKind.LOAD_CHANGES, SectionKind.COMPLETE_LOAD, *AGGREGATE_KINDS)
 KIND_FACTOR = 32  # of a section's first byte; what is below it is the number of entries
-MAX_ENTRIES = KIND_FACTOR - 1  # of a section
-MAX_UNSENT = 4096  # entries that wait for the end of an event
-POSITION_BYTES = 4  # of a group's ring position
-MESSAGE_TIME_UNITS = 1000  # in a second
-PROBE_TIME_UNITS = 100_000  # in a second
-NUMBER_BITS = 7  # of a number in each byte; the eighth says that more bytes follow
-MORE_FOLLOWS = 1 << NUMBER_BITS
-MAX_NUMBER = (1 << 3 * NUMBER_BITS) - 1  # of three bytes
+MAX_SECTION_ENTRIES = KIND_FACTOR - 1  # of a section
+MAX_PENDING_ENTRIES = 4096  # entries that wait for the end of an event
+RING_POSITION_BYTES = 4  # of a group's ring position
+MESSAGE_TIME_UNITS_PER_SECOND = 1000  # in a second
+PROBE_TIME_UNITS_PER_SECOND = 100_000  # in a second
+VARINT_BITS = 7  # of a number in each byte; the eighth says that more bytes follow
+CONTINUATION_BIT = 1 << VARINT_BITS
+MAX_VARINT = (1 << 3 * VARINT_BITS) - 1  # of three bytes
 
 
 class MalformedMessageError(BrambleplankError, ValueError):
@@ -76,10 +76,10 @@
     ADVICE = "look which build or program sends datagrams to this process; they are ignored"
 
 
-class UnsentEntry(NamedTuple):
+class PendingEntry(NamedTuple):
     """One entry of a section, until it is sent."""
 
-    to: int | None  # one proxy by its number, or all others
+    recipient: int | None  # one proxy by its number, or all others
     width: int  # bytes of its tag
     kind: SectionKind
     data: bytes
@@ -90,7 +90,7 @@
 
     position: int  # of a group on the ring, its highest bytes; 0 in sections of other kinds
     tag: int
-    numbers: list[int]
+    values: list[int]
 
 
 class PeerMessenger:
@@ -104,8 +104,8 @@
     def __init__(
         self,
         send_message: Callable[[bytes, int | None], None],
-        longest: int,
-        soon: Callable[[Callable[[], None]], object],
+        max_size: int,
+        defer: Callable[[Callable[[], None]], object],
         tags: Callable[[], ServerTags],
         message_time_received: Callable[[Server, float, float], None],
         load_report_received: Callable[[Any, dict[Server, int], bool, bool], None],
@@ -114,77 +114,79 @@
     ) -> None:
         """Messages have `longest` bytes at most."""
         self.send_message = send_message
-        self.longest = longest
-        self.soon = soon
+        self.max_size = max_size
+        self.defer = defer
         self.tags = tags
         self.message_time_received = message_time_received
         self.load_report_received = load_report_received
         self.group_server_reported = group_server_reported
         self.permit_message_received = permit_message_received
-        self.unsent: list[UnsentEntry] = []
+        self.pending: list[PendingEntry] = []
 
     # Reports of this proxy.
 
-    def report_message_time(self, server: Server, seconds: float, usual: float) -> None:
+    def report_message_time(self, server: Server, seconds: float, typical_delay: float) -> None:
         """Reports how long messages take at a server, and how long probes usually do (0: not known)."""
-        message_time = round(seconds * MESSAGE_TIME_UNITS)
-        probe_time = round(usual * PROBE_TIME_UNITS)
+        message_time = round(seconds * MESSAGE_TIME_UNITS_PER_SECOND)
+        probe_time = round(typical_delay * PROBE_TIME_UNITS_PER_SECOND)
         if probe_time:
-            self.report(SectionKind.MESSAGE_AND_PROBE_TIME, server, None, message_time, probe_time)
+            self.enqueue_entry(SectionKind.MESSAGE_AND_PROBE_TIME, server, None, message_time, probe_time)
         else:
-            self.report(SectionKind.MESSAGE_TIME, server, None, message_time)
+            self.enqueue_entry(SectionKind.MESSAGE_TIME, server, None, message_time)
 
-    def send_load_report(self, held: dict[Server, int], whole: bool, to: int | None, summed: bool) -> None:
+    def send_load_report(
+        self, connections: dict[Server, int], complete: bool, recipient: int | None, is_aggregate: bool
+    ) -> None:
         """Reports connections by server: all or only changes, of this proxy or summed over all."""
-        whole_kind = SectionKind.WHOLE_AGGREGATE if summed else SectionKind.WHOLE_LOAD
-        change_kind = SectionKind.AGGREGATE_CHANGES if summed else SectionKind.LOAD_CHANGES
-        if whole or not held:
-            kind = whole_kind if whole else change_kind
-            self.put(UnsentEntry(to, self.tags().width, kind, b""))
-        for server, count in held.items():
-            self.report(change_kind, server, to, count)
+        complete_kind = SectionKind.COMPLETE_AGGREGATE if is_aggregate else SectionKind.COMPLETE_LOAD
+        change_kind = SectionKind.AGGREGATE_CHANGES if is_aggregate else SectionKind.LOAD_CHANGES
+        if complete or not connections:
+            kind = complete_kind if complete else change_kind
+            self.enqueue(PendingEntry(recipient, self.tags().width, kind, b""))
+        for server, count in connections.items():
+            self.enqueue_entry(change_kind, server, recipient, count)
 
     def report_group_servers(self, group_servers: dict[int, Server]) -> None:
         """Reports the servers of displaced groups, by the groups' ring positions."""
         for position, server in group_servers.items():
-            prefix = (position >> UNREPORTED_POSITION_BITS).to_bytes(POSITION_BYTES, "big")
-            self.report(SectionKind.GROUP_SERVER, server, None, before_tag=prefix)
+            prefix = (position >> UNREPORTED_POSITION_BITS).to_bytes(RING_POSITION_BYTES, "big")
+            self.enqueue_entry(SectionKind.GROUP_SERVER, server, None, before_tag=prefix)
 
-    def send_permit_message(self, server: Server, to: int, word: int) -> None:
+    def send_permit_message(self, server: Server, recipient: int, message: int) -> None:
         """Requests, grants or denies a slow-start permit."""
-        self.report(SectionKind.PERMIT, server, to, word)
+        self.enqueue_entry(SectionKind.PERMIT, server, recipient, message)
 
-    def report(
-        self, kind: SectionKind, server: Server, to: int | None, *numbers: int, before_tag: bytes = b""
+    def enqueue_entry(
+        self, kind: SectionKind, server: Server, recipient: int | None, *values: int, before_tag: bytes = b""
     ) -> None:
         """Adds an entry on a server; nothing is reported of one without a tag of its own."""
         tags = self.tags()
         width = tag_width(kind, tags.width)
         tag = tags.tag(server, width)
         if tag is not None:
-            data = before_tag + tag.to_bytes(width, "big") + b"".join(map(encode_number, numbers))
-            self.put(UnsentEntry(to, tags.width, kind, data))
+            data = before_tag + tag.to_bytes(width, "big") + b"".join(map(encode_varint, values))
+            self.enqueue(PendingEntry(recipient, tags.width, kind, data))
 
-    def put(self, entry: UnsentEntry) -> None:
+    def enqueue(self, entry: PendingEntry) -> None:
         """Adds an entry to what goes out at the end of the event."""
-        if not self.unsent:
-            self.soon(self.send)
-        self.unsent.append(entry)
+        if not self.pending:
+            self.defer(self.send)
+        self.pending.append(entry)
         # What is reported without end during one event would fill the memory.
-        if len(self.unsent) >= MAX_UNSENT:
+        if len(self.pending) >= MAX_PENDING_ENTRIES:
             self.send()
 
     def send(self) -> None:
         """Sends all that was reported since, in as few messages as it takes."""
-        unsent = self.unsent
-        self.unsent = []
-        for (to, width), entries in groupby(unsent, lambda entry: (entry.to, entry.width)):
-            for message in pack(entries, width, self.longest):
-                self.send_message(message, to)
+        pending = self.pending
+        self.pending = []
+        for (recipient, width), entries in groupby(pending, lambda entry: (entry.recipient, entry.width)):
+            for message in pack_entries(entries, width, self.max_size):
+                self.send_message(message, recipient)
 
     # Reports of others.
 
-    def receive(self, message: bytes, teller: Any) -> None:
+    def receive(self, message: bytes, sender: Any) -> None:
         """Reads a message whose first byte is in TAG_WIDTHS_BY_FIRST_BYTE. Raises MalformedMessageError."""
         own_width = TAG_WIDTHS_BY_FIRST_BYTE[message[0]]
         at = 1
@@ -193,15 +195,15 @@
             kind = SectionKind(number)
             width = tag_width(kind, own_width)
             entries, at = decode_section(message, at + 1, kind, count, width)
-            self.receive_section(teller, kind, entries, self.tags().servers_by_tag(width))
+            self.receive_section(sender, kind, entries, self.tags().servers_by_tag(width))
 
     def receive_section(
         self, sender: Any, kind: SectionKind, entries: list[ReceivedEntry], servers: dict[int, Server]
     ) -> None:
         """Hands a section on, without what it says of servers that have no tag of their own here."""
         if kind in LOAD_KINDS:
-            held = {servers[entry.tag]: entry.numbers[0] for entry in entries if entry.tag in servers}
-            self.load_report_received(sender, held, kind in WHOLE_KINDS, kind in AGGREGATE_KINDS)
+            connections = {servers[entry.tag]: entry.values[0] for entry in entries if entry.tag in servers}
+            self.load_report_received(sender, connections, kind in COMPLETE_KINDS, kind in AGGREGATE_KINDS)
             return
         for entry in entries:
             server = servers.get(entry.tag)
@@ -211,13 +213,13 @@
     def receive_entry(self, sender: Any, kind: SectionKind, entry: ReceivedEntry, server: Server) -> None:
         """Hands on one entry of a section that is not a load report."""
         if kind == SectionKind.PERMIT:
-            self.permit_message_received(sender, server, entry.numbers[0])
+            self.permit_message_received(sender, server, entry.values[0])
         elif kind == SectionKind.GROUP_SERVER:
             self.group_server_reported(entry.position << UNREPORTED_POSITION_BITS, server)
         else:
-            probe_units = entry.numbers[1] if kind == SectionKind.MESSAGE_AND_PROBE_TIME else 0
-            message_time = entry.numbers[0] / MESSAGE_TIME_UNITS
-            self.message_time_received(server, message_time, probe_units / PROBE_TIME_UNITS)
+            probe_units = entry.values[1] if kind == SectionKind.MESSAGE_AND_PROBE_TIME else 0
+            message_time = entry.values[0] / MESSAGE_TIME_UNITS_PER_SECOND
+            self.message_time_received(server, message_time, probe_units / PROBE_TIME_UNITS_PER_SECOND)
 
 
 def tag_width(kind: SectionKind, own_width: int) -> int:
@@ -228,40 +230,40 @@
     return MAX_TAG_WIDTH if kind == SectionKind.PERMIT else own_width
 
 
-def encode_number(number: int) -> bytes:
+def encode_varint(number: int) -> bytes:
     """Encodes a number, or the largest that there is, seven bits a byte; all but the last are over 127."""
-    rest = min(number, MAX_NUMBER)
+    remaining = min(number, MAX_VARINT)
     data = bytearray()
-    while rest >= MORE_FOLLOWS:
-        data.append(rest & (MORE_FOLLOWS - 1) | MORE_FOLLOWS)
-        rest >>= NUMBER_BITS
-    data.append(rest)
+    while remaining >= CONTINUATION_BIT:
+        data.append(remaining & (CONTINUATION_BIT - 1) | CONTINUATION_BIT)
+        remaining >>= VARINT_BITS
+    data.append(remaining)
     return bytes(data)
 
 
-def decode_number(message: bytes, at: int) -> tuple[int, int]:
+def decode_varint(message: bytes, at: int) -> tuple[int, int]:
     """Returns the number at an index, and the index after it. Raises IndexError if it does not end."""
     number = 0
     shift = 0
-    while (byte := message[at]) >= MORE_FOLLOWS:
-        number |= (byte & (MORE_FOLLOWS - 1)) << shift
-        shift += NUMBER_BITS
+    while (byte := message[at]) >= CONTINUATION_BIT:
+        number |= (byte & (CONTINUATION_BIT - 1)) << shift
+        shift += VARINT_BITS
         at += 1
-    return min(MAX_NUMBER, number | byte << shift), at + 1
+    return min(MAX_VARINT, number | byte << shift), at + 1
 
 
-def pack(entries: Iterable[UnsentEntry], width: int, longest: int) -> Iterator[bytes]:
+def pack_entries(entries: Iterable[PendingEntry], width: int, max_size: int) -> Iterator[bytes]:
     """Packs entries for one reader into messages, each as full as it can be."""
     message = bytearray([1 + width])
     section = 0  # where the last section begins
     kind: SectionKind | None = None  # of the last section
     for entry in entries:
-        joins = entry.kind == kind and message[section] % KIND_FACTOR < MAX_ENTRIES
-        if len(message) + (not joins) + len(entry.data) > longest:
+        joins_section = entry.kind == kind and message[section] % KIND_FACTOR < MAX_SECTION_ENTRIES
+        if len(message) + (not joins_section) + len(entry.data) > max_size:
             yield bytes(message)
             message = bytearray([1 + width])
-            joins = False
-        if not joins:
+            joins_section = False
+        if not joins_section:
             section = len(message)
             kind = entry.kind
             message.append(kind * KIND_FACTOR)
@@ -288,12 +290,12 @@
 
 def decode_entry(message: bytes, at: int, kind: SectionKind, width: int) -> tuple[ReceivedEntry, int]:
     """Returns the entry at an index, and the index after it. Raises IndexError if a number does not end."""
-    tag_at = at + (POSITION_BYTES if kind == SectionKind.GROUP_SERVER else 0)
+    tag_at = at + (RING_POSITION_BYTES if kind == SectionKind.GROUP_SERVER else 0)
     position = int.from_bytes(message[at:tag_at], "big")
     at = tag_at + width
     tag = int.from_bytes(message[tag_at:at], "big")
-    numbers = []
-    for _ in range(NUMBERS[kind]):
-        number, at = decode_number(message, at)
-        numbers.append(number)
-    return ReceivedEntry(position, tag, numbers), at
+    values = []
+    for _ in range(VARINTS_PER_ENTRY[kind]):
+        number, at = decode_varint(message, at)
+        values.append(number)
+    return ReceivedEntry(position, tag, values), at
--- a/brambleplank/server_tags.py
+++ b/brambleplank/server_tags.py
@@ -15,7 +15,8 @@
 
 TAG_WIDTHS = (2, 3, 4)  # bytes of a tag
 MAX_TAG_WIDTH = 4  # where a wrong server would break a rule: one collision is likely in some 65,000 servers
-MAX_CROWDING = 1 / 16  # of the tags of a width, the most that the square of the number of servers may be
+# Limit of (number of servers)^2 / (number of tags of a width); the probability of a collision is half of it.
+MAX_COLLISION_RATIO = 1 / 16
 
 
 class ServerTags:
@@ -24,16 +25,16 @@
     def __init__(self, servers: Iterable[Server]) -> None:
         self.by_id = {server.id: server for server in servers}
         self.by_width: dict[int, dict[int, Server]] = {}  # made for a width when it is first needed
-        self.width = self.narrowest()
+        self.width = self.smallest_width()
 
-    def narrowest(self) -> int:
+    def smallest_width(self) -> int:
         """Returns the fewest bytes that tell the servers apart: 2 for up to 64 servers, 3 for up to 1,024.
 
         A width that is just enough would often name another server to a process whose list is newer.
         """
         count = len(self.by_id)
         for width in TAG_WIDTHS:
-            if count**2 <= MAX_CROWDING * 256**width and len(self.servers_by_tag(width)) == count:
+            if count**2 <= MAX_COLLISION_RATIO * 256**width and len(self.servers_by_tag(width)) == count:
                 return width
         return MAX_TAG_WIDTH
 
@@ -43,7 +44,7 @@
             by_tag: dict[int, Server] = {}
             collisions = set()
             for server in self.by_id.values():
-                tag = tag_of(server, width)
+                tag = server_tag(server, width)
                 if by_tag.setdefault(tag, server) is not server:
                     collisions.add(tag)
             self.by_width[width] = {tag: server for tag, server in by_tag.items() if tag not in collisions}
@@ -51,7 +52,7 @@
 
     def tag(self, server: Server, width: int) -> int | None:
         """Returns a server's tag; None if it has none of its own, or is not in the list."""
-        tag = tag_of(server, width)
+        tag = server_tag(server, width)
         return tag if self.servers_by_tag(width).get(tag) is server else None
 
     def ambiguous_servers(self) -> list[Server]:
@@ -62,6 +63,6 @@
         return [server for server in self.by_id.values() if server not in named]
 
 
-def tag_of(server: Server, width: int) -> int:
+def server_tag(server: Server, width: int) -> int:
     """Returns so many bytes of the server's first point on the ring, which is a hash of its id."""
     return server.points[0] & (1 << 8 * width) - 1
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from brambleplank.net.peer_link import MAX_DATAGRAM_SIZE, PeerLink
-from brambleplank.peer_messages import MAX_NUMBER, encode_number
+from brambleplank.peer_messages import MAX_VARINT, encode_varint
 from brambleplank.records import Server
 from brambleplank.server_tags import ServerTags
 
@@ -27,7 +27,7 @@
 
 
 @given(
-    st.dictionaries(st.sampled_from(SERVERS), st.integers(0, MAX_NUMBER), max_size=300),
+    st.dictionaries(st.sampled_from(SERVERS), st.integers(0, MAX_VARINT), max_size=300),
     st.booleans(),
     st.sampled_from(SERVERS),
     st.floats(0, 0.6),
@@ -45,7 +45,7 @@
     assert [first for *_, first, _ in said["held"]] == [whole, *[False] * 300][: len(said["held"])]
     assert said["time"] == [(server, round(seconds * 1000) / 1000, round(seconds * 100_000) / 100_000)]
     assert said["home"] == [(server.points[0] >> 96 << 96, server)] and said["turn"] == [(0, server, 2)]
-    size = sum(3 + len(encode_number(count)) for count in held.values())
+    size = sum(3 + len(encode_varint(count)) for count in held.values())
     assert max(map(len, sent)) <= MAX_DATAGRAM_SIZE and len(sent) <= 2 + size // (MAX_DATAGRAM_SIZE - 16)
 
 
