--- a/brambleplank/interfaces.py
+++ b/brambleplank/interfaces.py
@@ -1,8 +1,9 @@
-"""The interface between the proxy, frontends and sources of endpoints.
+"""Interfaces between the proxy, its frontends and its endpoint sources.
 
-A frontend speaks one protocol: it accepts clients' connections and hands each request to the proxy, which
-asks it for attempts, answers and probes. A source of endpoints follows one kind of list of servers. Both call
-the proxy itself (`net/proxy.py`), which knows them by these protocols alone. All times are in seconds.
+A frontend implements one wire protocol: it accepts client connections and passes each request to the proxy,
+which opens upstream connections, answers and sends probes through it. An endpoint source follows one kind of
+endpoint list. Both call the proxy (`net/proxy.py`) directly; the proxy uses them only through these
+protocols. All times are in seconds.
 """
 
 from __future__ import annotations
@@ -17,35 +18,35 @@
 
 @dataclass(frozen=True)
 class RequestOpening:
-    """What a client asks for as it opens a request, whatever protocol it speaks."""
+    """The parameters of a new request, independent of the client's protocol."""
 
-    traffic_class: str  # its name
+    traffic_class: str  # name of the traffic class
     key: int
-    group: int | None  # of affinity
+    group: int | None  # affinity group
     tenant: str
     client_version: str
 
 
 @dataclass(frozen=True)
 class ResumedSession:
-    """A session that was open at a server before this process began, and goes on there."""
+    """A session that was open at a server before this process started and is resumed there."""
 
     traffic_class: TrafficClass
     key: int
-    group: int | None  # of affinity
+    group: int | None  # affinity group
     server: Server
 
 
 @dataclass(frozen=True)
 class AdmissionDecision:
-    """Whether the fleet lets a request in; if not, after how many seconds a client may come again."""
+    """Whether the fleet admits a request, and if not, the delay in seconds before the client may retry."""
 
     admitted: bool
-    retry_after: float | None = None  # None: no rule says when
+    retry_after: float | None = None  # None: no rule sets a delay
 
 
 class EndpointAddress(Protocol):
-    """How a server is reached."""
+    """The id and the address of a server."""
 
     @property
     def name(self) -> str:
@@ -53,156 +54,158 @@
 
     @property
     def address(self) -> Address | None:
-        """None: not known; an attempt there counts as unreachable."""
+        """The server's address; None: unknown, and attempts at the server end as unreachable."""
 
 
 class UpstreamConnection(Protocol):
-    """One attempt of a request, and its session once it is established.
+    """One attempt of a request, and its session once the attempt is established.
 
-    It calls `Proxy.upstream_established` and `Proxy.upstream_ended`. Times are those of `Clock.now`.
+    It calls `RequestLifecycle.upstream_established` and `upstream_ended`. Times are those of `Clock.now`.
     """
 
     established: bool
     ended: bool
-    attempt_number: int  # among those of the request, from 0 in the order made
-    unanswered_since: float  # when the oldest line without an answer was passed on; 0: none waits
+    attempt_number: int  # index among the request's attempts, in the order in which they were started
+    unanswered_since: float  # when the oldest unanswered line was forwarded; 0: no line is unanswered
 
     @property
     def client(self) -> ClientConnection:
-        """Whose request it is."""
+        """The client whose request this attempt serves."""
 
     @property
     def endpoint(self) -> EndpointAddress:
-        """Where it goes."""
+        """The endpoint of the server."""
 
     @property
     def started_at(self) -> float:
-        """When it was made."""
+        """When the attempt was started."""
 
     def opening_written(self) -> bool:
-        """Returns whether the server may have all of the opening: from then on the request may have run."""
+        """Returns whether the server may have received the whole opening, and so may have run the request."""
 
     def end_code(self, outcome: AttemptOutcome) -> str:
-        """Returns the reason code of a session that its server has ended with this outcome."""
+        """Returns the reason code of a session that the server ended with this outcome."""
 
     def close(self, reset: bool = False) -> None:
-        """Ends the connection, in a reset if asked for, without a call to the proxy."""
+        """Closes the connection, optionally with a reset, without notifying the proxy."""
 
 
 class ClientConnection(Protocol):
-    """A client's connection, from its opening to its end."""
+    """A client's connection, from accept to close."""
 
     request: Request | None
-    resumed_session: ResumedSession | None  # what it goes on with, if it was open before this process
-    connection_error: str  # by which its connection broke; "": it has not
-    answer_deadline: float  # infinite before its request, and for a resumed session
+    resumed_session: ResumedSession | None  # set if the client resumes a session from before this process
+    connection_error: str  # name of the error that broke the connection; "": none
+    answer_deadline: float  # infinite until the request has been received, and for a resumed session
 
     @property
     def id(self) -> str:
-        """The id of its request; "" before its opening was whole."""
+        """The id of the request; "" until the opening has been received completely."""
 
     @property
     def opened_at(self) -> float:
-        """When its opening was whole; 0 before that."""
+        """When the opening was received completely; 0 before that."""
 
     @property
     def end_code(self) -> str:
-        """The reason code of its end; "" while it is open."""
+        """The reason code of the end; "" while the request or session is open."""
 
     @property
     def upstreams(self) -> Sequence[UpstreamConnection]:
-        """Its attempts, in the order made."""
+        """The attempts, in the order in which they were started."""
 
     @property
     def established_upstream(self) -> UpstreamConnection | None:
-        """The one that is established."""
+        """The attempt that was established, if any."""
 
     def open_upstream(self, endpoint: EndpointAddress, timeout: float) -> None:
-        """Begins an attempt, given up after `wait` seconds; 0: as long as a resumed session may take."""
+        """Starts an attempt with a timeout in seconds; 0: the timeout of resumed sessions."""
 
     def reject(self, retry_after: float) -> None:
-        """Answers that trying again is harmless, best after `pause` seconds (0: no advice)."""
+        """Answers that a retry is safe, preferably after `retry_after` seconds (0: no advice)."""
 
     def abort(self, code: str) -> None:
         """Answers that the request may or may not have run; `code` is the reason code."""
 
     def migrate(self) -> None:
-        """Ends a session politely, between two messages; the client comes again."""
+        """Ends the session gracefully, between two messages, so that the client reconnects."""
 
     def close_from_upstream(self, code: str, reset: bool) -> None:
-        """Ends the connection as its server has, by a reset or not."""
+        """Closes the connection because the server closed the session; `reset`: with a connection reset."""
 
     def evict(self) -> None:
-        """Ends an idle connection whose descriptor is needed."""
+        """Closes an idle connection to free its descriptor."""
 
 
 class FleetAdmission(Protocol):
-    """What this process shares with the other proxies of its fleet; a request is known by its client."""
+    """Admission by fleet-wide rules and budgets; a request is identified by its client connection."""
 
     def ready(self) -> bool:
-        """Returns whether requests may be accepted, as far as the fleet is concerned."""
+        """Returns whether the fleet's rules allow this process to accept requests."""
 
     def reload(self) -> None:
-        """Reads its configuration again."""
+        """Reloads the fleet configuration."""
 
     def admit(self, client: ClientConnection, opening: RequestOpening) -> AdmissionDecision:
         """Returns whether a new request may be attempted."""
 
     def session_resumed(self, client: ClientConnection, opening: RequestOpening) -> None:
-        """A session from before the start goes on."""
+        """Counts a session from before the start of this process, which is resumed."""
 
     def notice(self, client: ClientConnection) -> str:
-        """Returns the notice for an established client that asked for it; "": none."""
+        """Returns the retirement notice for an established client that requested notices; "": none."""
 
     def allows_retry(self, client: ClientConnection) -> bool:
-        """Returns whether a request may be attempted once more."""
+        """Returns whether the request may have a further attempt."""
 
     def request_established(self, client: ClientConnection) -> None:
-        """A request is established."""
+        """Records that a request is established."""
 
     def request_ended(self, client: ClientConnection, rejected: bool) -> None:
-        """A request has its final answer, or a session has ended."""
+        """Records that a request has its final answer, or that a session has ended."""
 
     def attempt_finished(self, server: Server, succeeded: bool) -> None:
-        """An attempt at a server was established, or failed."""
+        """Records that an attempt at a server was established (`succeeded`) or failed."""
 
 
 class HealthProbe(Protocol):
-    """A standing connection to a server, for one probe at a time.
+    """A persistent connection to a server, with at most one probe in flight.
 
     It calls `HealthProbes.probe_answered` and `HealthProbes.probe_closed`.
     """
 
-    sent_at: float  # of the probe without an answer; 0: none is out
-    unconfirmed_excesses: list[float]  # of the probes before, if this one is to confirm them
+    sent_at: float  # when the probe in flight was sent; 0: no probe is in flight
+    unconfirmed_excesses: list[
+        float
+    ]  # excess delays of the preceding probes that the next probe has to confirm
 
     @property
     def server(self) -> Server:
-        """The server that is probed."""
+        """The probed server."""
 
     def send(self) -> None:
         """Sends a probe."""
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection."""
 
 
 class ConnectionListener(Protocol):
-    """Where a frontend accepts connections."""
+    """A listening socket of a frontend."""
 
     @property
     def paused(self) -> bool:
-        """Whether connections are left in the kernel."""
+        """Whether accepting is paused, so that new connections stay in the kernel's backlog."""
 
     def resume(self) -> None:
-        """Accepts connections again."""
+        """Resumes accepting connections."""
 
 
 class EndpointSource(Protocol):
-    """Follows a list of servers; it calls `Proxy.endpoints_received` and `Proxy.endpoint_list_failed`."""
+    """Follows an endpoint list; it calls `Proxy.endpoints_received` and `Proxy.endpoint_list_failed`."""
 
     def ensure_watching(self) -> None:
-        """Begins, or begins again after a failure; nothing happens while it is following."""
+        """Starts watching the list, or restarts after a failure; does nothing while the watch is active."""
 
     def stop(self) -> None:
-        """Ends the following; it calls the proxy no more."""
+        """Stops watching; the source makes no further calls to the proxy."""
--- a/brambleplank/peer_messages.py
+++ b/brambleplank/peer_messages.py
@@ -1,22 +1,24 @@
-"""Messages between proxies, as bytes: message times at servers, connections held, servers of groups.
-
-What one proxy sends, all others read, and pay for by the byte and by the message. So servers go by short tags
-(`server_tags.py`), numbers have as many bytes as they need (seven bits each, the lowest first, as in Protocol
-Buffers), and what is reported during one event goes out together. The first byte, 3 to 5, is one more than
-the bytes of a tag. After it come sections; each has a byte with its kind, times 32, and its number of
-entries:
-
-    1  tag count            connections held here, for each server that has changed
-    2                       earlier reports are void: what follows is all that is held here
-    3  tag ms               how long messages take there, in thousandths of a second
-    4  tag ms usual         and what a probe usually takes there, in hundred-thousandths
-    5  position tag         the server of a displaced group, by four bytes of the group's ring position
-    0  tag message          a slow-start permit is requested of the aggregator (2), granted (1) or denied (0);
-                            the tag has four bytes here whatever the others have
-    6, 7                    as 1 and 2, of all proxies together, by the aggregator
-
-Both hosts send it: datagrams between proxies on sockets, messages on the simulator's wire. Before, the first
-byte was 1, tags had two bytes and counts one. Neither form is read by a program that sends the other.
+"""Binary messages between proxies: message times, load reports, servers of affinity groups, permits.
+
+Every proxy receives what each of the others sends, so the cost grows with the bytes and with the number of
+messages. Therefore servers are identified by short tags (`server_tags.py`), numbers are encoded as varints as
+in Protocol Buffers, and all reports of one event are batched. The first byte of a message is the width of its
+tags in bytes plus one (3 to 5). Sections follow. The first byte of a section is its kind times 32 plus the
+number of its entries:
+
+    kind  entry
+    1     tag count         connections of the sender at each server whose count has changed
+    2     (no entries)      discards earlier reports: the counts that follow are all connections of the sender
+    3     tag ms            message time at a server, in milliseconds
+    4     tag ms delay      the same, and the typical delay of a probe there, in units of 10 microseconds
+    5     position tag      server of a displaced affinity group, by four bytes of the group's ring position
+    0     tag message       requests a slow-start permit from the aggregator (2), grants (1) or denies (0) it;
+                            the tag always has four bytes here
+    6, 7                    as 1 and 2, for all proxies together, sent by the aggregator
+
+Both hosts use this format: the network in datagrams between proxies, the simulator in messages on its wire.
+The previous format began with the byte 1 and had tags of two bytes and counts of one. A program that sends
+one of the two formats doesn't read the other.
 """
 
 from __future__ import annotations
@@ -30,11 +32,11 @@
 from brambleplank.records import UNREPORTED_POSITION_BITS, Server
 from brambleplank.server_tags import MAX_TAG_WIDTH, TAG_WIDTHS, ServerTags
 
-TAG_WIDTHS_BY_FIRST_BYTE = {1 + width: width for width in TAG_WIDTHS}  # bytes of a tag, by the first byte
+TAG_WIDTHS_BY_FIRST_BYTE = {1 + width: width for width in TAG_WIDTHS}  # in bytes
 
 
 class SectionKind(IntEnum):
-    """What the entries of a section say."""
+    """Kind of the entries of a section; the values are sent."""
 
     PERMIT = 0
     LOAD_CHANGES = 1
@@ -55,50 +57,51 @@
     SectionKind.GROUP_SERVER: 0,
     SectionKind.AGGREGATE_CHANGES: 1,
     SectionKind.COMPLETE_AGGREGATE: 1,
-}  # of an entry, after its tag
+}  # numbers of an entry, after its tag
 COMPLETE_KINDS = (SectionKind.COMPLETE_LOAD, SectionKind.COMPLETE_AGGREGATE)
 AGGREGATE_KINDS = (SectionKind.AGGREGATE_CHANGES, SectionKind.COMPLETE_AGGREGATE)
 LOAD_KINDS = (SectionKind.LOAD_CHANGES, SectionKind.COMPLETE_LOAD, *AGGREGATE_KINDS)
-KIND_FACTOR = 32  # of a section's first byte; what is below it is the number of entries
-MAX_SECTION_ENTRIES = KIND_FACTOR - 1  # of a section
-MAX_PENDING_ENTRIES = 4096  # entries that wait for the end of an event
-RING_POSITION_BYTES = 4  # of a group's ring position
-MESSAGE_TIME_UNITS_PER_SECOND = 1000  # in a second
-PROBE_TIME_UNITS_PER_SECOND = 100_000  # in a second
-VARINT_BITS = 7  # of a number in each byte; the eighth says that more bytes follow
+KIND_FACTOR = 32  # a section's first byte is its kind times this, plus its number of entries
+MAX_SECTION_ENTRIES = KIND_FACTOR - 1
+MAX_PENDING_ENTRIES = 4096  # entries are sent before the end of the event once there are this many
+RING_POSITION_BYTES = 4
+MESSAGE_TIME_UNITS_PER_SECOND = 1000
+PROBE_TIME_UNITS_PER_SECOND = 100_000
+VARINT_BITS = 7  # payload bits of each byte of a varint
 CONTINUATION_BIT = 1 << VARINT_BITS
-MAX_VARINT = (1 << 3 * VARINT_BITS) - 1  # of three bytes
+MAX_VARINT = (1 << 3 * VARINT_BITS) - 1  # the largest number of three bytes
 
 
 class MalformedMessageError(BrambleplankError, ValueError):
-    """A section ends amid an entry, or a number does not end."""
+    """A section is truncated within an entry, or a varint does not terminate."""
 
-    ADVICE = "look which build or program sends datagrams to this process; they are ignored"
+    ADVICE = "check which build or program sends datagrams to this process; they are ignored"
 
 
 class PendingEntry(NamedTuple):
-    """One entry of a section, until it is sent."""
+    """An encoded entry of a section, waiting to be sent."""
 
-    recipient: int | None  # one proxy by its number, or all others
-    width: int  # bytes of its tag
+    recipient: int | None  # number of a proxy; None: all others
+    width: int  # tag width of the message, in bytes
     kind: SectionKind
     data: bytes
 
 
 class ReceivedEntry(NamedTuple):
-    """One entry of a section, as received."""
+    """A decoded entry of a section."""
 
-    position: int  # of a group on the ring, its highest bytes; 0 in sections of other kinds
+    position: int  # the high bytes of a group's ring position; 0 in sections of other kinds
     tag: int
     values: list[int]
 
 
 class PeerMessenger:
-    """Encodes what this proxy reports, and hands on what others do.
+    """Encodes and batches the reports of this proxy, and decodes and dispatches those of others.
 
-    `send_message` carries a message to one proxy by its number, or to all others; `soon` calls back at the
-    end of the event at hand; `tags` gives the tags of the endpoint list. `load_report_received` is given the
-    sender, counts by server, whether they are all, and whether of all proxies.
+    `send_message` sends a message to the proxy of a number, or to all others (None); `defer` schedules a call
+    for the end of the current event; `tags` returns the tags of the endpoint list. `load_report_received`
+    takes the sender, the connection counts by server, whether they are complete, and whether they are an
+    aggregate.
     """
 
     def __init__(
@@ -112,7 +115,7 @@
         group_server_reported: Callable[[int, Server], None],
         permit_message_received: Callable[[Any, Server, int], None],
     ) -> None:
-        """Messages have `longest` bytes at most."""
+        """`max_size` is the limit of a message in bytes."""
         self.send_message = send_message
         self.max_size = max_size
         self.defer = defer
@@ -126,7 +129,7 @@
     # Reports of this proxy.
 
     def report_message_time(self, server: Server, seconds: float, typical_delay: float) -> None:
-        """Reports how long messages take at a server, and how long probes usually do (0: not known)."""
+        """Reports the message time at a server and the typical delay of a probe (0: unknown), in seconds."""
         message_time = round(seconds * MESSAGE_TIME_UNITS_PER_SECOND)
         probe_time = round(typical_delay * PROBE_TIME_UNITS_PER_SECOND)
         if probe_time:
@@ -137,7 +140,7 @@
     def send_load_report(
         self, connections: dict[Server, int], complete: bool, recipient: int | None, is_aggregate: bool
     ) -> None:
-        """Reports connections by server: all or only changes, of this proxy or summed over all."""
+        """Reports connections by server: all of them or changes, of this proxy or aggregated over all."""
         complete_kind = SectionKind.COMPLETE_AGGREGATE if is_aggregate else SectionKind.COMPLETE_LOAD
         change_kind = SectionKind.AGGREGATE_CHANGES if is_aggregate else SectionKind.LOAD_CHANGES
         if complete or not connections:
@@ -147,7 +150,7 @@
             self.enqueue_entry(change_kind, server, recipient, count)
 
     def report_group_servers(self, group_servers: dict[int, Server]) -> None:
-        """Reports the servers of displaced groups, by the groups' ring positions."""
+        """Reports the servers of displaced affinity groups, by the groups' ring positions."""
         for position, server in group_servers.items():
             prefix = (position >> UNREPORTED_POSITION_BITS).to_bytes(RING_POSITION_BYTES, "big")
             self.enqueue_entry(SectionKind.GROUP_SERVER, server, None, before_tag=prefix)
@@ -159,7 +162,7 @@
     def enqueue_entry(
         self, kind: SectionKind, server: Server, recipient: int | None, *values: int, before_tag: bytes = b""
     ) -> None:
-        """Adds an entry on a server; nothing is reported of one without a tag of its own."""
+        """Enqueues an entry about a server; without a unique tag for the server, does nothing."""
         tags = self.tags()
         width = tag_width(kind, tags.width)
         tag = tags.tag(server, width)
@@ -168,16 +171,16 @@
             self.enqueue(PendingEntry(recipient, tags.width, kind, data))
 
     def enqueue(self, entry: PendingEntry) -> None:
-        """Adds an entry to what goes out at the end of the event."""
+        """Adds an entry to those that are sent at the end of the event."""
         if not self.pending:
             self.defer(self.send)
         self.pending.append(entry)
-        # What is reported without end during one event would fill the memory.
+        # Bounds the memory that the reports of one long event can take.
         if len(self.pending) >= MAX_PENDING_ENTRIES:
             self.send()
 
     def send(self) -> None:
-        """Sends all that was reported since, in as few messages as it takes."""
+        """Sends the pending entries in as few messages as their order allows."""
         pending = self.pending
         self.pending = []
         for (recipient, width), entries in groupby(pending, lambda entry: (entry.recipient, entry.width)):
@@ -200,7 +203,7 @@
     def receive_section(
         self, sender: Any, kind: SectionKind, entries: list[ReceivedEntry], servers: dict[int, Server]
     ) -> None:
-        """Hands a section on, without what it says of servers that have no tag of their own here."""
+        """Dispatches the entries of a section; entries whose tag matches no server here are ignored."""
         if kind in LOAD_KINDS:
             connections = {servers[entry.tag]: entry.values[0] for entry in entries if entry.tag in servers}
             self.load_report_received(sender, connections, kind in COMPLETE_KINDS, kind in AGGREGATE_KINDS)
@@ -211,7 +214,7 @@
                 self.receive_entry(sender, kind, entry, server)
 
     def receive_entry(self, sender: Any, kind: SectionKind, entry: ReceivedEntry, server: Server) -> None:
-        """Hands on one entry of a section that is not a load report."""
+        """Dispatches an entry of a section that is not a load report."""
         if kind == SectionKind.PERMIT:
             self.permit_message_received(sender, server, entry.values[0])
         elif kind == SectionKind.GROUP_SERVER:
@@ -223,15 +226,16 @@
 
 
 def tag_width(kind: SectionKind, own_width: int) -> int:
-    """Returns the bytes of a tag in a section of a message whose other tags have so many.
+    """Returns the tag width in a section of this kind, in a message with tags of `own_width` bytes.
 
-    A permit that is taken for one of another warming server lets more connect there than it bears.
+    Permits always have the largest width: a permit attributed to the wrong server in slow start would allow
+    more attempts there than it can sustain.
     """
     return MAX_TAG_WIDTH if kind == SectionKind.PERMIT else own_width
 
 
 def encode_varint(number: int) -> bytes:
-    """Encodes a number, or the largest that there is, seven bits a byte; all but the last are over 127."""
+    """Encodes a number as a varint, least significant bits first; larger numbers become `MAX_VARINT`."""
     remaining = min(number, MAX_VARINT)
     data = bytearray()
     while remaining >= CONTINUATION_BIT:
@@ -242,7 +246,7 @@
 
 
 def decode_varint(message: bytes, at: int) -> tuple[int, int]:
-    """Returns the number at an index, and the index after it. Raises IndexError if it does not end."""
+    """Decodes a varint. Returns the number and the index after it. Raises IndexError if it is truncated."""
     number = 0
     shift = 0
     while (byte := message[at]) >= CONTINUATION_BIT:
@@ -253,10 +257,10 @@
 
 
 def pack_entries(entries: Iterable[PendingEntry], width: int, max_size: int) -> Iterator[bytes]:
-    """Packs entries for one reader into messages, each as full as it can be."""
+    """Packs entries for one recipient into as few messages as possible, keeping their order."""
     message = bytearray([1 + width])
-    section = 0  # where the last section begins
-    kind: SectionKind | None = None  # of the last section
+    section = 0  # index of the last section
+    kind: SectionKind | None = None  # kind of the last section
     for entry in entries:
         joins_section = entry.kind == kind and message[section] % KIND_FACTOR < MAX_SECTION_ENTRIES
         if len(message) + (not joins_section) + len(entry.data) > max_size:
@@ -267,7 +271,7 @@
             section = len(message)
             kind = entry.kind
             message.append(kind * KIND_FACTOR)
-        message[section] += bool(entry.data)  # a section that voids earlier reports has no entries
+        message[section] += bool(entry.data)  # a section that discards earlier reports has no entries
         message += entry.data
     yield bytes(message)
 
@@ -275,7 +279,7 @@
 def decode_section(
     message: bytes, at: int, kind: SectionKind, count: int, width: int
 ) -> tuple[list[ReceivedEntry], int]:
-    """Returns a section's entries, and the index after them. Raises MalformedMessageError."""
+    """Decodes a section. Returns its entries and the index after them. Raises MalformedMessageError."""
     entries = []
     try:
         for _ in range(count):
@@ -284,12 +288,12 @@
     except IndexError:
         at = len(message) + 1
     if at > len(message):
-        raise MalformedMessageError(f"section {int(kind)} ends amid an entry")
+        raise MalformedMessageError(f"section of kind {int(kind)} is truncated")
     return entries, at
 
 
 def decode_entry(message: bytes, at: int, kind: SectionKind, width: int) -> tuple[ReceivedEntry, int]:
-    """Returns the entry at an index, and the index after it. Raises IndexError if a number does not end."""
+    """Decodes an entry. Returns it and the index after it. Raises IndexError if a number is truncated."""
     tag_at = at + (RING_POSITION_BYTES if kind == SectionKind.GROUP_SERVER else 0)
     position = int.from_bytes(message[at:tag_at], "big")
     at = tag_at + width
--- a/brambleplank/server_tags.py
+++ b/brambleplank/server_tags.py
@@ -1,10 +1,11 @@
-"""Short names of servers between processes: the last bytes of a hash of each id, whatever else a list holds.
+"""Short server identifiers in messages between processes: the low bytes of a hash of the server's id.
 
-All that is reported names a server, and is paid for by the byte. So a tag has as few bytes as tell the
-servers of the sender's list apart with room to spare; a message says how many. Where two servers of one list
-share a tag even so, neither can be named by it: nothing is reported of them, and what is received with that
-tag is ignored. A collision of a server that only the sender knows with one that only the receiver knows is
-not detected; it is possible while their lists differ, and rare by `MAX_CROWDING`.
+A tag depends on the id alone, not on the other servers of the list. Every report names a server, so tags are
+as short as the number of servers in the sender's list allows, to save traffic; each message declares the
+width of its tags. If two servers of a list share a tag at that width, nothing is reported about either of
+them, and received entries with that tag are ignored. A collision between a server that only the sender has
+and one that only the receiver has is not detected; it can occur while their lists differ, and
+`MAX_COLLISION_RATIO` keeps it rare.
 """
 
 from __future__ import annotations
@@ -13,9 +14,12 @@
 
 from brambleplank.records import Server
 
-TAG_WIDTHS = (2, 3, 4)  # bytes of a tag
-MAX_TAG_WIDTH = 4  # where a wrong server would break a rule: one collision is likely in some 65,000 servers
-# Limit of (number of servers)^2 / (number of tags of a width); the probability of a collision is half of it.
+TAG_WIDTHS = (2, 3, 4)  # bytes
+# Bytes; used where a mistaken server would violate a rule. A collision becomes likely at about 65,000
+# servers.
+MAX_TAG_WIDTH = 4
+# Limit of (number of servers)^2 / (number of tags of a width); at the limit, the probability of a collision
+# is about 1/32.
 MAX_COLLISION_RATIO = 1 / 16
 
 
@@ -24,13 +28,14 @@
 
     def __init__(self, servers: Iterable[Server]) -> None:
         self.by_id = {server.id: server for server in servers}
-        self.by_width: dict[int, dict[int, Server]] = {}  # made for a width when it is first needed
+        self.by_width: dict[int, dict[int, Server]] = {}  # servers by tag, computed on first use of a width
         self.width = self.smallest_width()
 
     def smallest_width(self) -> int:
-        """Returns the fewest bytes that tell the servers apart: 2 for up to 64 servers, 3 for up to 1,024.
+        """Returns the tag width for this list: 2 bytes for up to 64 servers, 3 for up to 1,024, otherwise 4.
 
-        A width that is just enough would often name another server to a process whose list is newer.
+        The width is larger than uniqueness in this list requires: at the smallest unique width, a tag would
+        often match a different server at a process with a newer list.
         """
         count = len(self.by_id)
         for width in TAG_WIDTHS:
@@ -39,7 +44,7 @@
         return MAX_TAG_WIDTH
 
     def servers_by_tag(self, width: int) -> dict[int, Server]:
-        """Returns the servers by their tags of so many bytes, without those that share one."""
+        """Returns the servers by their tags of `width` bytes, without servers that share a tag."""
         if width not in self.by_width:
             by_tag: dict[int, Server] = {}
             collisions = set()
@@ -51,12 +56,12 @@
         return self.by_width[width]
 
     def tag(self, server: Server, width: int) -> int | None:
-        """Returns a server's tag; None if it has none of its own, or is not in the list."""
+        """Returns a server's tag; None if the tag is not unique, or the server is not in the list."""
         tag = server_tag(server, width)
         return tag if self.servers_by_tag(width).get(tag) is server else None
 
     def ambiguous_servers(self) -> list[Server]:
-        """Returns the servers that not even the widest tags tell apart."""
+        """Returns the servers whose tags collide even at the largest width."""
         if self.width != MAX_TAG_WIDTH:
             return []
         named = set(self.servers_by_tag(MAX_TAG_WIDTH).values())
@@ -64,5 +69,5 @@
 
 
 def server_tag(server: Server, width: int) -> int:
-    """Returns so many bytes of the server's first point on the ring, which is a hash of its id."""
+    """Returns the low `width` bytes of the server's first point on the ring, which is a hash of its id."""
     return server.points[0] & (1 << 8 * width) - 1
