--- a/brambleplank/net/__init__.py
+++ b/brambleplank/net/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy on sockets: it translates between lines and the decisions, and times; it decides nothing."""
+"""The network host of the decisions: sockets, timers and the log. It makes no balancing decisions itself."""
--- a/brambleplank/net/buffers.py
+++ b/brambleplank/net/buffers.py
@@ -1,4 +1,4 @@
-"""Transports that read into buffers of a pool, and listeners that leave connections in the kernel."""
+"""Transports with pooled read buffers, and listeners that can pause accepting."""
 
 from __future__ import annotations
 
@@ -22,32 +22,32 @@
 from brambleplank.net.loop import reactor
 
 LOG = Logger()
-BUFFER_SIZE = 16 * 1024  # bytes; several lines of the longest kind
-BACKLOG = 1024  # connections that the kernel holds ready; each may already have sent its line
-MAX_ACCEPTS_PER_PASS = 100  # connections in one pass of the loop
-ACCEPT_RETRY_DELAY = 0.02  # seconds, where this machine could not accept
-LINGER_TIMEOUT = 1.5  # seconds that the other side has to read what is left, and to end its own side
+BUFFER_SIZE = 16 * 1024  # bytes; holds several lines of the maximum length
+BACKLOG = 1024  # connections in the kernel's queue; each may already have sent its first line
+MAX_ACCEPTS_PER_PASS = 100  # connections in one iteration of the event loop
+ACCEPT_RETRY_DELAY = 0.02  # seconds after accept failed on this machine
+LINGER_TIMEOUT = 1.5  # seconds for the other side to read the remaining data and close its end
 
 
 class BrokenConnectionError(BrambleplankError, ConnectionLost):
-    """A read failed with this errno: the connection is lost. Twisted's own type would not keep which."""
+    """The connection was lost in a read; unlike Twisted's type, the error keeps the name of the errno."""
 
-    ADVICE = "look at the network between the two, or at who has reset the connection"
+    ADVICE = "check the network between the two sides, and which side reset the connection"
 
 
 class BufferPool:
-    """Buffers of one size: those that were given back are used again, beyond `kept` they are freed."""
+    """A pool of buffers of one size; at most `max_free` released buffers are kept for reuse."""
 
     def __init__(self, max_free: int) -> None:
         self.max_free = max_free
         self.free_buffers: list[bytearray] = []
 
     def acquire(self) -> bytearray:
-        """Returns a buffer, which is to be given back."""
+        """Returns a buffer, which the caller has to release."""
         return self.free_buffers.pop() if self.free_buffers else bytearray(BUFFER_SIZE)
 
     def release(self, buffer: bytearray) -> None:
-        """Takes a buffer back."""
+        """Returns a buffer to the pool."""
         if len(self.free_buffers) < self.max_free:
             self.free_buffers.append(buffer)
 
@@ -56,7 +56,7 @@
 
 
 class PooledConnection:
-    """Reads into a pooled buffer, counts what was written, and can end in a reset once all is flushed."""
+    """A transport that reads into pooled buffers, counts bytes written, and can reset once it has flushed."""
 
     socket: socket
     protocol: Any
@@ -64,7 +64,7 @@
     resetting = False
 
     def doRead(self) -> Any:  # noqa: N802
-        """Reads once; returns why the connection has ended, if it has."""
+        """Reads once; returns the reason if the connection has ended."""
         buffer = BUFFER_POOL.acquire()
         try:
             try:
@@ -75,30 +75,31 @@
                 return BrokenConnectionError(errorcode.get(error.errno or 0, "reset"))
             if not count:
                 return main.CONNECTION_DONE
-            # Outside the inner `try`: an error of what the protocol does then is not this connection's end.
+            # Outside the inner `try`: an OSError raised by the protocol doesn't mean that this connection
+            # broke.
             self.protocol.dataReceived(memoryview(buffer)[:count])
         finally:
             BUFFER_POOL.release(buffer)
         return None
 
     def writeSomeData(self, data: bytes) -> Any:  # noqa: N802
-        """Writes what the socket takes, and counts it."""
+        """Writes as much as the socket accepts, and counts the bytes."""
         count = super().writeSomeData(data)  # type: ignore[misc]
         if isinstance(count, int):
             self.written += count
         return count
 
     def flush(self) -> None:
-        """Writes what can be written now; an error is met by the loop's next write."""
+        """Writes as much as possible now; errors are handled by the event loop's next write."""
         if self.connected and not self.disconnected:
             with suppress(OSError):
                 self.doWrite()  # type: ignore[attr-defined]
 
     def close_after_flush(self, reset: bool) -> None:
-        """Ends the connection once all is flushed, in a reset if asked for.
+        """Closes the connection after the buffered data is written, optionally with a reset.
 
-        A reset at once would throw away lines that the other side is to get. A side that no longer reads
-        would hold the descriptor for ever, so it has `LINGER` seconds.
+        An immediate reset would discard lines that the other side has yet to receive. A peer that no longer
+        reads would hold the descriptor forever, so the connection is aborted after `LINGER_TIMEOUT`.
         """
         self.resetting = reset
         self.unregisterProducer()  # type: ignore[attr-defined]
@@ -107,9 +108,10 @@
             reactor.callLater(LINGER_TIMEOUT, self.abortConnection)  # type: ignore[attr-defined]
 
     def detach(self) -> int:
-        """Returns the descriptor of the socket, which is the caller's from here on.
+        """Releases the socket's descriptor to the caller.
 
-        If the reactor still watched it, this process would read from it; a shutdown would end it for both.
+        The reactor stops watching it first: otherwise this process would go on reading from it, and closing
+        it here would shut the connection down for the other process too.
         """
         self.unregisterProducer()  # type: ignore[attr-defined]
         self.stopReading()  # type: ignore[attr-defined]
@@ -119,7 +121,7 @@
         return self.socket.detach()
 
     def unsent_data(self) -> bytes:
-        """Returns what was not written yet."""
+        """Returns the buffered data that has not been written yet."""
         whole: Any = self
         return bytes(whole.dataBuffer[whole.offset :]) + b"".join(whole._tempDataBuffer)
 
@@ -128,40 +130,41 @@
 
 
 class FlowControl:
-    """Pauses and resumes one side of a pair as the other can take more.
+    """Back pressure: pauses reading on one side of a pair while the other side's write buffer is full.
 
-    A transport that is lost stops its producer. Passed on, that would close the other side before it has had
-    its last line; the protocols end it instead, as they know how.
+    Twisted stops the producer of a lost transport. Forwarded, that would close the other side before its last
+    line was sent, so `stopProducing` does nothing, and the protocols close the other side themselves.
     """
 
     def __init__(self, transport: Any) -> None:
         self.transport = transport
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Stops reading."""
+        """Pauses reading."""
         self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Reads on."""
+        """Resumes reading."""
         self.transport.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Does nothing: the other side is closed."""
+        """Does nothing; see the class."""
 
 
 class ClientTransport(PooledConnection, tcp.Server):
-    """A client's connection."""
+    """The transport of a client connection over TCP."""
 
 
 class UpstreamTransport(PooledConnection, tcp.Client):
-    """A connection to a server."""
+    """The transport of a connection to a server."""
 
-    is_connecting = False  # the call to connect was made, and its outcome is awaited
+    is_connecting = False  # connect was called; its result is pending, or the connection is up
 
     def doConnect(self) -> None:  # noqa: N802
-        """Calls connect once; how that went is read from the socket when it is ready, as connect(2) has it.
+        """Calls connect once; reads the result from SO_ERROR once the socket is ready, as in connect(2).
 
-        Twisted calls connect again then; if that call failed on this machine, the server would look at fault.
+        Twisted would call connect a second time instead; a local failure of that call would be attributed to
+        the server.
         """
         if not self.is_connecting:
             super().doConnect()
@@ -176,10 +179,11 @@
             self._connectDone()
 
     def failIfNotConnected(self, err: Any) -> None:  # noqa: N802
-        """The connection has failed, or timed out; a fault of this machine gets a type of its own.
+        """Handles a failed or timed out connect; failures of this machine become LocalConnectError.
 
-        After a stall of this process timers come first, and the connection may be up without having been
-        seen: so a timeout takes one more pass of the loop, or a sound server would be called unreachable.
+        After a stall of this process, timers run before I/O, and the connection may be up already. A timeout
+        is therefore deferred by one iteration of the event loop; otherwise a healthy server would be reported
+        as unreachable.
         """
         fail = super().failIfNotConnected
         number = getattr(err, "osError", None)
@@ -192,10 +196,10 @@
 
 
 class PausableListener:
-    """Accepts as many connections as its factory has room for; the others wait in the kernel."""
+    """Accepts as many connections as its factory allows; others stay in the kernel's backlog."""
 
     paused = False
-    handed_off = False  # to another process, which accepts
+    handed_off = False  # whether another process accepts on this socket
     factory: Any
     socket: Any
     transport: Any
@@ -203,10 +207,11 @@
     reactor: Any
 
     def doRead(self) -> None:  # noqa: N802
-        """Accepts as many as there is room for.
+        """Accepts as many connections as the factory allows.
 
-        Twisted's own accepts and closes what it has no descriptor for, and would go on at once with any other
-        error. What waits in the kernel until this machine's fault is over is served then.
+        Twisted's implementation closes connections when it runs out of descriptors, and retries at once after
+        other errors. This one pauses after a failure of this machine and retries after `ACCEPT_RETRY_DELAY`;
+        connections wait in the backlog meanwhile.
         """
         capacity = self.factory.accept_capacity()
         if capacity <= 0:
@@ -227,7 +232,7 @@
                 self.begin_connection(accepted, address)
 
     def begin_connection(self, accepted: Any, address: Any) -> None:
-        """Makes the protocol of a connection; an exception there ends this connection alone."""
+        """Creates the protocol and transport of a connection; an exception closes only this connection."""
         number = self.sessionno
         self.sessionno += 1
         protocol = self.factory.buildProtocol(self._buildAddr(address))  # type: ignore[attr-defined]
@@ -235,24 +240,26 @@
         try:
             protocol.makeConnection(transport)
         except Exception:
-            LOG.failure("a connection could not be taken in")
-            transport.abortConnection()  # not closed here: the reactor would go on watching its number
+            LOG.failure("cannot set up an accepted connection; aborting it")
+            # Closing the socket directly would leave its descriptor registered with the reactor.
+            transport.abortConnection()
 
     def pause(self) -> None:
-        """Leaves connections in the kernel."""
+        """Pauses accepting; new connections stay in the kernel's backlog."""
         self.paused = True
         self.stopReading()  # type: ignore[attr-defined]
 
     def resume(self) -> None:
-        """Accepts again, unless another process does."""
+        """Resumes accepting, unless another process accepts on this socket."""
         self.paused = False
         if not self.handed_off and not self.disconnecting and self.connected:  # type: ignore[attr-defined]
             self.startReading()  # type: ignore[attr-defined]
 
     def set_handed_off(self, handed_off: bool) -> None:
-        """Leaves accepting to another process of the same queue, or takes it back.
+        """Leaves accepting to another process that shares the listening socket, or takes it back.
 
-        Shut down as Twisted does at the end, the queue would be closed for the other process too.
+        From then on the socket is closed without shutdown(2), which Twisted calls on close: that would end
+        listening in the other process too.
         """
         self.handed_off = handed_off
         self._shouldShutdown = False
@@ -263,13 +270,13 @@
 
 
 class ClientListener(PausableListener, tcp.Port):
-    """Accepts clients' connections at an address."""
+    """Accepts client connections at a TCP address."""
 
     transport = ClientTransport
 
 
 class UpstreamConnector(tcp.Connector):
-    """Connects to a server, by `UpstreamTransport`."""
+    """Connects to a server with an `UpstreamTransport`."""
 
     def _makeTransport(self) -> UpstreamTransport:  # noqa: N802
         return UpstreamTransport(self.host, self.port, self.bindAddress, self, self.reactor)
--- a/brambleplank/net/clock.py
+++ b/brambleplank/net/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a proxy, and its timers."""
+"""The clock and the timers of a proxy."""
 
 from __future__ import annotations
 
@@ -10,34 +10,38 @@
 
 from brambleplank.net.loop import reactor
 
-MAX_SLEW = 2.0  # seconds by which the wall clock gets ahead without having been stepped
-STEP_SETTLED_AFTER = 900.0  # seconds for which a step forward must hold until dates follow it
+MAX_SLEW = 2.0  # seconds; a larger advance of the wall clock counts as a step
+STEP_SETTLED_AFTER = 900.0  # seconds that a forward step must persist before dates follow it
 
 
 class Clock:
-    """Spans run on the monotonic clock alone; its zero is set once, so that logs read as Unix time."""
+    """A monotonic clock, offset once at the start so that its times read as Unix time in logs.
+
+    All delays and durations use this clock.
+    """
 
     def __init__(self) -> None:
         self.epoch_offset = time.time() - time.monotonic()
-        self.settled_offset = self.epoch_offset  # of dates to the monotonic clock
-        self.pending_step: tuple[float, float] | None = None  # an offset that is waited out, and since when
+        self.settled_offset = self.epoch_offset  # settled wall time minus monotonic time
+        # The offset after a forward step that is not settled yet, and the monotonic time of the step.
+        self.pending_step: tuple[float, float] | None = None
 
     def now(self) -> float:
-        """Returns seconds on the monotonic clock, from a zero that lets them read as Unix time."""
+        """Returns the monotonic time in seconds, offset to read as Unix time."""
         return self.epoch_offset + time.monotonic()
 
     @staticmethod
     def wall_time() -> float:
-        """Returns Unix time as this machine has it now, to read or write what others write in it.
+        """Returns this machine's current Unix time, for timestamps exchanged with others.
 
-        It may be stepped at any time, so no rule rests on its difference to `now`.
+        The wall clock may be stepped at any time, so no rule may depend on its difference to `now`.
         """
         return time.time()
 
     def settled_wall_time(self) -> float:
-        """Returns Unix time for dates at which something begins: a step forward counts once it has held.
+        """Returns Unix time for scheduled dates: a forward step takes effect after `STEP_SETTLED_AFTER`.
 
-        A step back counts at once, as later than its date nothing begins that cannot be undone.
+        A backward step takes effect at once: a late start is safe, while an early one cannot be undone.
         """
         monotonic = time.monotonic()
         offset = self.wall_time() - monotonic
@@ -52,24 +56,24 @@
         return self.settled_offset + monotonic
 
     def adopt_epoch_offset(self, epoch_offset: float) -> None:
-        """Goes on by the clock of another process of this machine, so that times of both can be compared."""
+        """Adopts the offset of another process of this machine, so that times of both are comparable."""
         self.epoch_offset = epoch_offset
 
     def call_later(self, delay: float, call: Callable[..., object], *arguments: Any) -> DelayedCall:
-        """Calls after a delay in seconds."""
+        """Schedules a call after a delay in seconds."""
         delayed_call: DelayedCall = reactor.callLater(max(0.0, delay), call, *arguments)
         return delayed_call
 
     def call_after_reads(self, delay: float, call: Callable[..., object], *arguments: Any) -> CallAfterReads:
-        """Calls after a delay in seconds, once what had arrived by then has been read.
+        """Schedules a call after a delay in seconds, once data that has arrived by then has been read.
 
-        After a stall of this process timers come first, and would take what did arrive for missing.
+        After a stall of this process, timers run before I/O, and would take data that did arrive for missing.
         """
         return CallAfterReads(self, delay, call, arguments)
 
 
 class CallAfterReads:
-    """A call that is made one pass of the loop after its time; until then it can be cancelled."""
+    """A scheduled call that runs one iteration of the event loop after its time; it can be cancelled."""
 
     def __init__(
         self, clock: Clock, delay: float, call: Callable[..., object], arguments: tuple[Any, ...]
@@ -80,13 +84,13 @@
         self.timer = clock.call_later(delay, self._call_after_next_read)
 
     def _call_after_next_read(self) -> None:
-        """Lets the loop read before the call."""
+        """Defers the call by one iteration of the event loop, which reads first."""
         self.timer = self.clock.call_later(0, self.call, *self.arguments)
 
     def active(self) -> bool:
-        """Returns whether the call is still to come."""
+        """Returns whether the call is still pending."""
         return bool(self.timer.active())
 
     def cancel(self) -> None:
-        """Drops the call."""
+        """Cancels the call."""
         self.timer.cancel()
--- a/brambleplank/net/descriptors.py
+++ b/brambleplank/net/descriptors.py
@@ -1,4 +1,4 @@
-"""The limit of file descriptors that this process may open."""
+"""The process limit of open file descriptors (RLIMIT_NOFILE)."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def raise_descriptor_limit(wanted: int) -> int:
-    """Raises this process's soft limit where it is lower, as far as its hard limit lets it.
+    """Raises the soft limit to `wanted` descriptors, or to the hard limit if that is lower.
 
-    Returns how many descriptors of those wanted it may open.
+    Returns how many descriptors the process may open, at most `wanted`.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= wanted:
--- a/brambleplank/net/direct_connections.py
+++ b/brambleplank/net/direct_connections.py
@@ -1,4 +1,4 @@
-"""Connections of an HTTP client to numeric addresses."""
+"""Connections of the HTTP client to numeric addresses."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @implementer(IAgentEndpointFactory)
 class DirectEndpointFactory:
-    """Makes endpoints of numeric addresses: no name is looked up, and no thread is started for it."""
+    """Creates endpoints for numeric addresses, without name resolution and the threads that it uses."""
 
     def __init__(self, timeout: float) -> None:
-        self.timeout = timeout  # seconds for a connection to come up
+        self.timeout = timeout  # connect timeout in seconds
 
     def endpointForURI(self, uri: Any) -> TCP4ClientEndpoint:  # noqa: N802
-        """Returns the endpoint of a URI whose host is an address."""
+        """Returns the endpoint of a URI whose host is an IPv4 address."""
         return TCP4ClientEndpoint(reactor, uri.host.decode().strip("[]"), uri.port, timeout=self.timeout)
--- a/brambleplank/net/event_log.py
+++ b/brambleplank/net/event_log.py
@@ -1,4 +1,4 @@
-"""LogWriter lines and counts of ended requests, failed attempts and changed servers."""
+"""Log lines and counters for ended requests, failed attempts and changed servers."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class EventLog:
-    """Writes one line, and counts one, for each event."""
+    """Writes one log line and increments one counter for each event."""
 
     def __init__(self, log: LogWriter) -> None:
         self._log = log
         self.metrics = Metrics()
 
     def client_ended(self, client: ClientConnection, age: float, turned_away: bool) -> None:
-        """A client has its final answer, or its connection is closed; `age` is in seconds."""
+        """Records a client that has its final answer, or whose connection closed; `age` is in seconds."""
         server_name = client.upstreams[-1].endpoint.name if client.upstreams else "-"
         name = client.id or "-"
         attempts = len(client.upstreams)
@@ -41,7 +41,7 @@
         )
 
     def attempt_failed(self, upstream: UpstreamConnection, end: AttemptOutcome, delay: float) -> None:
-        """An attempt ended before it was established; `delay` is in seconds."""
+        """Records an attempt that ended before it was established; `delay` is in seconds."""
         self.metrics.count("attempts_ended", end.value)
         name = upstream.client.id
         number = upstream.attempt_number
@@ -59,7 +59,7 @@
     def endpoints_changed(
         self, now: float, endpoints: Iterable[Endpoint], known: Mapping[str, Server], slow_start_time: float
     ) -> None:
-        """An endpoint list came: reports servers that drain, are removed, are new or have started anew."""
+        """Records the servers that an endpoint list adds, removes, drains or reports as restarted."""
         for endpoint in endpoints:
             server = known.get(endpoint.id)
             starts = endpoint.started > max(server.started if server else 0.0, now - slow_start_time)
--- a/brambleplank/net/faults.py
+++ b/brambleplank/net/faults.py
@@ -1,4 +1,4 @@
-"""Exceptions that Twisted has caught, as lines of the proxy's log."""
+"""Logging of exceptions that Twisted has caught."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def log_unhandled_exceptions(proxy: Proxy) -> None:
-    """Has each logged as one line; Twisted would print a traceback, or nothing."""
+    """Logs each exception as one line of the proxy's log; Twisted would print a traceback, or nothing."""
 
     def observe(event: dict[str, Any]) -> None:
-        """Logs the exception of an event, if it has one."""
+        """Logs the exception of a Twisted log event, if it has one."""
         failure = event.get("log_failure") or event.get("failure")
         if failure:
             proxy.report_exception(failure.value, failure.getTracebackObject())
--- a/brambleplank/net/fleet_link.py
+++ b/brambleplank/net/fleet_link.py
@@ -1,4 +1,4 @@
-"""Connects the proxy to its fleet: datagrams, ticks, and the requests of the proxy."""
+"""Connects the proxy to its fleet: datagrams, periodic work and fleet-wide admission of requests."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 from brambleplank.server_tags import MAX_TAG_WIDTH, ServerTags
 
 TICK_INTERVAL = 0.1  # seconds
-OBSERVATION_INTERVAL = 1.0  # seconds between two looks at what other members observed of servers
-IDEMPOTENCY_RANKS = {  # larger: requests need more care
+OBSERVATION_INTERVAL = 1.0  # seconds between evaluations of the members' observations of servers
+IDEMPOTENCY_RANKS = {  # a larger rank is less safe to repeat
     Idempotency.IDEMPOTENT: 0,
     Idempotency.IDEMPOTENT_IN_GROUP: 1,
     Idempotency.NON_IDEMPOTENT: 2,
@@ -37,7 +37,7 @@
 
 
 class FleetHost(Protocol):
-    """What the link needs of the proxy."""
+    """The part of the proxy that the link uses."""
 
     @property
     def clock(self) -> Clock:
@@ -53,14 +53,14 @@
 
     @property
     def balancer(self) -> Balancer:
-        """The decisions, whose `ready` servers members name to each other."""
+        """The balancer, whose ready servers are the subject of messages between members."""
 
     def migrate_client(self, client: ClientConnection) -> None:
-        """Migrates a client whose session has ended over the whole fleet."""
+        """Migrates a client whose session a fleet-wide rule ends."""
 
 
 class FleetLink:
-    """The proxy's side of its fleet: it carries datagrams, ticks and requests, and decides nothing."""
+    """Passes datagrams, ticks and requests between the proxy and its fleet member; makes no decisions."""
 
     def __init__(
         self,
@@ -72,15 +72,15 @@
     ) -> None:
         """Joins the fleet.
 
-        `send` takes a datagram and a member's number, or None for all members; `notices` says whether clients
-        may be sent notices. Raises TableError, or OSError for a file of routes that cannot be read.
+        `send` takes a datagram and a member's number, or None for all members; `notices` is whether clients
+        may be sent retirement notices. Raises TableError, or OSError if the route file cannot be read.
         """
         self._host = host
         self._clock = host.clock
         self._log = host.log_writer
         self._fleet_settings = fleet_settings
         self._notices = notices
-        self._tagged_servers: list[Server] | None = None  # the list that the tags were made of
+        self._tagged_servers: list[Server] | None = None  # the list from which the tags were computed
         self._tags = ServerTags([])
         self.fleet = self._join(seed, send)
         self.routing: ActiveRoutes | None = None
@@ -92,11 +92,11 @@
         )
         self._ignored_datagrams = 0
         self._next_observation_at = 0.0
-        self._ejected_servers: set[Server] = set()  # by other members' observations, as last looked
+        self._ejected_servers: set[Server] = set()  # at the last evaluation of observations
         self._clock.call_later(0, self.tick)
 
     def _join(self, seed: int, send: Callable[[bytes, int | None], None]) -> FleetMember:
-        """Returns this process's part in the fleet; its incarnation is the wall time in milliseconds."""
+        """Creates this process's fleet member; its incarnation is the wall time in milliseconds."""
         return FleetMember(
             self._fleet_settings.number,
             self._fleet_settings.members,
@@ -111,7 +111,7 @@
         )
 
     def _load_routes(self, path: Path) -> None:
-        """Reads the first table of routes. Raises TableError or OSError."""
+        """Loads the initial route table from a file. Raises TableError or OSError."""
         text = path.read_bytes()
         self.routing = ActiveRoutes(
             self.fleet, self.lint_context, self.run_in_thread, text, self._log.write_line
@@ -125,7 +125,7 @@
         )
 
     def tick(self) -> None:
-        """Does what is due in the fleet; repeats itself."""
+        """Runs the periodic work of the fleet, and schedules the next tick."""
         self._clock.call_later(TICK_INTERVAL, self.tick)
         now = self._clock.now()
         self.fleet.tick(now)
@@ -138,7 +138,7 @@
                 self._host.migrate_client(client)
 
     def _mark_outliers(self, now: float) -> None:
-        """Marks the servers that several members found failing."""
+        """Marks servers as outliers that several members observed as failing."""
         servers = self.servers_by_tag()
         ejected = {servers[tag] for tag in self.fleet.server_observer.ejected_servers(now, list(servers))}
         for server in ejected:
@@ -150,7 +150,7 @@
         self._ejected_servers = ejected
 
     def datagram_received(self, data: bytes, member: int) -> None:
-        """Reads a datagram of the member of that number; what is not of this fleet is ignored."""
+        """Handles a datagram from a member, given by number; datagrams of another fleet are ignored."""
         try:
             self.fleet.receive_datagram(self._clock.now(), member, data)
         except ForeignError as error:
@@ -160,9 +160,9 @@
                 self._log.write_line(f"{text}: {error.with_advice()}")
 
     def lint_context(self, first_check: bool) -> LintContext:
-        """Returns what this process knows of its fleet, against which a table of routes is checked.
+        """Returns the state of this process and its fleet against which a route table is linted.
 
-        `first_sight`: the table has not been checked before, so its dates are compared with the wall clock.
+        `first_check`: the table has not been linted before, so its dates are compared with the wall clock.
         """
         settings = self._host.settings
         budgets = [account.budget for account in self.fleet.accounts.values()]
@@ -185,7 +185,7 @@
         )
 
     def _retirement_steps(self) -> dict[str, tuple[int, Step]]:
-        """Returns how far each retirement is: the number of its step, and the step."""
+        """Returns the current step of each retirement, with its number, by the retirement's name."""
         if self.routing is None or self.retirement_progress is None:
             return {}
         steps = {}
@@ -196,9 +196,9 @@
         return steps
 
     def run_in_thread(self, call: Callable[[], Any], done: Callable[[Any], None]) -> None:
-        """Calls in a thread, then `done` with the result in the reactor's.
+        """Runs `call` in a thread, then passes the result to `done` in the reactor's thread.
 
-        Reading a table of thousands of rules takes a second, in which no request would be answered.
+        Parsing a table of thousands of rules takes about a second, which would block all requests.
         """
         result: Any = threads.deferToThreadPool(reactor, reactor.getThreadPool(), call)
         result.addCallback(done)
@@ -207,21 +207,21 @@
         )
 
     def servers_by_tag(self) -> dict[int, Server]:
-        """Returns the servers that the list calls ready, as members name them to each other."""
+        """Returns the ready servers by the tags that members use in their messages."""
         ready = self._host.balancer.ready_servers
         if ready is not self._tagged_servers:
             self._tagged_servers = ready
             self._tags = ServerTags(ready)
         return self._tags.servers_by_tag(MAX_TAG_WIDTH)
 
-    # What the proxy asks, and reports of its requests.
+    # Called by the proxy (`FleetAdmission`).
 
     def ready(self) -> bool:
-        """Returns whether a table of routes is in force, where there has to be one."""
+        """Returns whether a route table is in force, or none is configured."""
         return self.routing is None or self.routing.is_ready(self._clock.now())
 
     def reload(self) -> None:
-        """Reads the file of routes again, and offers it to the fleet."""
+        """Reads the route file again and proposes its table to the fleet."""
         if self.routing is None:
             return
         path = self._fleet_settings.routes
@@ -246,7 +246,7 @@
         return AdmissionDecision(admitted, retry_after)
 
     def session_resumed(self, client: ClientConnection, opening: RequestOpening) -> None:
-        """A session from before the start goes on."""
+        """Counts a session from before the start of this process, which is resumed."""
         self.admission.adopt(
             client,
             opening.traffic_class,
@@ -257,30 +257,30 @@
         )
 
     def notice(self, client: ClientConnection) -> str:
-        """Returns the notice for an established client that asked for it; "": none."""
+        """Returns the retirement notice for an established client that requested notices; "": none."""
         return self.admission.retirement_notice(client)
 
     def allows_retry(self, client: ClientConnection) -> bool:
-        """Returns whether a request may be attempted once more."""
+        """Returns whether the request may have a further attempt."""
         return self.admission.allow_further_attempt(self._clock.now(), client)
 
     def request_established(self, client: ClientConnection) -> None:
-        """A request is established."""
+        """Records that a request is established."""
         self.admission.request_established(client)
 
     def request_ended(self, client: ClientConnection, rejected: bool) -> None:
-        """A request has its final answer, or a session has ended."""
+        """Records that a request has its final answer, or that a session has ended."""
         self.admission.request_ended(client, rejected)
 
     def attempt_finished(self, server: Server, succeeded: bool) -> None:
-        """Reports how an attempt at a server went."""
+        """Records the result of an attempt at a server, for the members' observations."""
         self.servers_by_tag()
         if (tag := self._tags.tag(server, MAX_TAG_WIDTH)) is not None:
             self.fleet.server_observer.record_attempt(self._clock.now(), tag, succeeded)
 
 
 class FleetDatagramProtocol(DatagramProtocol):
-    """Datagrams of the members of a fleet that have an address of their own for it."""
+    """Sends and receives the fleet's datagrams on an address of its own, apart from the peers' one."""
 
     noisy = False
     transport: Any
@@ -291,7 +291,7 @@
         own: int,
         send_failed: Callable[[int | None], None] | None = None,
     ) -> None:
-        """`own` is this member's number; `send_failed` gets the errno of what this machine could not send."""
+        """`own` is this member's number; `send_failed` gets the errno of each failed send."""
         self.addresses = addresses
         self.own_number = own
         self._send_failed = send_failed
@@ -299,11 +299,11 @@
         self._receive: Callable[[bytes, int], None] | None = None
 
     def set_receiver(self, receive: Callable[[bytes, int], None]) -> None:
-        """Registers what gets each datagram and the number of the member that sent it."""
+        """Registers the handler of received datagrams; it gets the data and the sender's number."""
         self._receive = receive
 
     def send(self, data: bytes, to: int | None) -> None:
-        """Sends a datagram to the member of that number, or to all others (None)."""
+        """Sends a datagram to the member of a number, or to all others (None)."""
         for number in range(len(self.addresses)) if to is None else [to]:
             if number != self.own_number and self.transport is not None:
                 try:
@@ -313,9 +313,9 @@
                         self._send_failed(error.errno)
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
-        """Hands on what members sent: anything else that reaches the port could act in their name."""
+        """Passes on datagrams from members' addresses only; other senders could impersonate members."""
         if self._receive is not None and addr in self.numbers:
             self._receive(datagram, self.numbers[addr])
 
     def connectionRefused(self) -> None:  # noqa: N802
-        """Does nothing: a member is down, and comes back by itself."""
+        """Ignores refused datagrams: the member is down, and receives later ones once it is back."""
--- a/brambleplank/net/graceful_shutdown.py
+++ b/brambleplank/net/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a graceful shutdown: waits until no client is left that could lose anything."""
+"""The last phase of a graceful shutdown: waits until the remaining clients are done or out of time."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from brambleplank.net.log import LogWriter
 
 CHECK_INTERVAL = 0.1  # seconds
-ACCEPT_GRACE = 0.5  # seconds after the begin in which clients may still connect
-READ_GRACE = 0.5  # seconds after the end of the shutdown time in which answers may still be read
+ACCEPT_GRACE = 0.5  # seconds from the start of the shutdown in which clients may still connect
+READ_GRACE = 0.5  # seconds after the shutdown deadline in which clients may still read their answers
 
 
 class GracefulShutdown:
-    """Looks again and again whether the proxy is drained; then `drained` is called once."""
+    """Checks periodically whether the proxy is drained, and then calls `drained` once."""
 
     def __init__(
         self,
@@ -38,17 +38,13 @@
         self._invariants = invariants
 
     def begin(self, has_successor: bool) -> None:
-        """Begins to look; a successor accepts the clients that still connect, so they are not waited for."""
+        """Starts the checks: after `ACCEPT_GRACE`, or sooner if a successor accepts new clients."""
         self._clock.call_after_reads(CHECK_INTERVAL if has_successor else ACCEPT_GRACE, self.check)
 
     def check(self) -> None:
-        """Ends the shutdown, or checks again later.
-
-        Ended at once, it would cut off clients that have connected and not sent all of their request yet,
-        in the kernel too, and those that have not read their answer; nobody waits longer than for these.
-        """
+        """Completes the shutdown if the proxy is drained, otherwise checks again later."""
         now = self._clock.now()
-        # Scheduled first: an exception below would otherwise leave the process running for ever.
+        # Scheduled first, as an exception below would otherwise leave the process running forever.
         next_check = self._clock.call_after_reads(CHECK_INTERVAL, self.check)
         if now >= self._balancer.shutdown_at:
             self._end_remaining()
@@ -59,7 +55,12 @@
             self._drained()
 
     def is_drained(self, now: float) -> bool:
-        """Returns whether no client is left, and none that connects or reads its answer is waited for."""
+        """Returns whether the process can end without cutting off a client.
+
+        Besides requests and sessions, it waits until the shutdown deadline for connections that have not sent
+        their whole request, in the kernel's backlog too, and `READ_GRACE` longer for clients that have not
+        read their answer.
+        """
         admission = self._admission
         is_overdue = now >= self._balancer.shutdown_at
         is_read_grace_over = now >= self._balancer.shutdown_at + READ_GRACE
@@ -68,7 +69,7 @@
         return not (self._clients or (connecting and not is_overdue) or (reading and not is_read_grace_over))
 
     def _end_remaining(self) -> None:
-        """Ends who has sent no request, and sessions whose server of before may never answer."""
+        """Evicts connections without a request, and aborts resumed sessions that no server has confirmed."""
         for client in list(self._admission.pending):
             client.evict()
         for client in list(self._clients):
--- a/brambleplank/net/local_faults.py
+++ b/brambleplank/net/local_faults.py
@@ -1,4 +1,4 @@
-"""Faults of this machine: system calls that fail for want of something here, which is no server's doing."""
+"""Local faults: system calls that fail because of this machine and are not attributed to servers."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from brambleplank.net.log import is_logged_occurrence
 
 Created = TypeVar("Created")
-RETRY_INTERVAL = 0.02  # seconds, at a start; nothing else runs in this process yet
-# Of a connect call: raised before anything left this machine, or for want of something that only it has.
+RETRY_INTERVAL = 0.02  # seconds; only used at startup, while nothing else runs in this process
+# Errors of connect that occur before a packet is sent, or for lack of a resource of this machine.
 LOCAL_CONNECT_ERRORS = frozenset(
     (
         errno.EADDRNOTAVAIL,
@@ -32,20 +32,20 @@
         errno.EINTR,
     )
 )
-# The same if the call itself fails; of a connection that was on its way they come from the network.
+# The same for errors that the call returns at once; later, ENETUNREACH comes from the network.
 LOCAL_IMMEDIATE_CONNECT_ERRORS = LOCAL_CONNECT_ERRORS | {errno.ENETUNREACH}
-# Of a socket that is made or bound: usually over soon.
+# Errors of creating or binding a socket that usually pass soon.
 TRANSIENT_ERRORS = frozenset(
     (errno.EADDRINUSE, errno.EAGAIN, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 )
-# Of an accept: of the one connection that was to be accepted.
+# Errors of accept that concern a single connection; the next one can be accepted at once.
 SINGLE_CONNECTION_ACCEPT_ERRORS = frozenset((errno.ECONNABORTED, errno.EPERM, errno.EPROTO, errno.EINTR))
 
 
 class LocalConnectError(BrambleplankError, ConnectError):
-    """A connect call failed on this machine; nothing of it has reached a server."""
+    """A connect failed on this machine; nothing was sent to the server."""
 
-    ADVICE = "look at this machine's descriptors, ports, routes and firewall; servers are not at fault"
+    ADVICE = "check this machine's descriptors, ports, routes and firewall; servers are not at fault"
 
     def __init__(self, call: str, number: int = 0) -> None:
         super().__init__(f"{call}: {os.strerror(number)}")
@@ -54,9 +54,9 @@
 
 
 def retry_transient(create: Callable[[], Created], timeout: float) -> Created:
-    """Calls again for `within` seconds while a transient fault of this machine is in the way.
+    """Calls `create`, and retries transient errors of this machine for `timeout` seconds.
 
-    It blocks, so only a start may use it. Raises OSError.
+    It blocks, so it may only be used at startup. Raises OSError.
     """
     deadline = time.monotonic() + timeout
     while True:
@@ -69,16 +69,18 @@
 
 
 class LocalFaults:
-    """Counts them, and logs the first, the second, the fourth and so on of each kind."""
+    """Counts local faults by system call and errno, and logs the 1st, 2nd, 4th, 8th and so on of each."""
 
     def __init__(self, write_line: Callable[[str], None]) -> None:
         self._write_line = write_line
         self.counts: Counter[tuple[str, str]] = Counter()
 
     def record(self, call: str, number: int | None) -> None:
-        """Counts a system call of this name that failed with this errno."""
+        """Records a failed system call with its errno."""
         name = errno.errorcode.get(number or 0, str(number))
         self.counts[call, name] += 1
         count = self.counts[call, name]
         if is_logged_occurrence(count):
-            self._write_line(f"machine: {call} failed with {name}, {count} so far; no server is judged by it")
+            self._write_line(
+                f"machine: {call} failed with {name}, {count} so far; not counted against servers"
+            )
--- a/brambleplank/net/log.py
+++ b/brambleplank/net/log.py
@@ -1,4 +1,4 @@
-"""The log: lines on standard error, so many a second at most."""
+"""The log: lines on standard error, with a rate limit."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import Any
 
 MAX_LINES_PER_SECOND = 200
-MAX_TURNED_AWAY_LINES = 20  # of these, about clients that were turned away
-MAX_ATTEMPT_LINES = 40  # of these, about attempts that were not established
+MAX_TURNED_AWAY_LINES = 20  # of these per second, on clients that were turned away
+MAX_ATTEMPT_LINES = 40  # of these per second, on attempts that were not established
 
 
 def format_plain_line(now: float, text: str, fields: dict[str, Any]) -> str:  # noqa: ARG001
@@ -18,22 +18,22 @@
 
 
 def is_logged_occurrence(count: int) -> bool:
-    """Returns whether the occurrence of this number, from 1, of a recurring event is logged.
+    """Returns whether an occurrence of a recurring event, numbered from 1, is logged.
 
-    The first, the second, the fourth and so on are, so that a flood of one event leaves room for others.
+    The 1st, 2nd, 4th, 8th and so on are, so that frequent events don't crowd out other lines.
     """
     return count & (count - 1) == 0
 
 
 class LogWriter:
-    """Writes lines up to a limit: a storm of them would fill the pipe behind standard error, and block."""
+    """Writes log lines up to a rate limit: a burst could fill standard error's pipe and block the process."""
 
     def __init__(
         self,
         clock: Callable[[], float],
         format_line: Callable[[float, str, dict[str, Any]], str] = format_plain_line,
     ) -> None:
-        """`form` makes a line of a time, a text and the fields of the text."""
+        """`format_line` returns a log line for a time, a text and the fields that the text contains."""
         self._clock = clock
         self._format_line = format_line
         self._second = 0
@@ -43,7 +43,7 @@
         self._attempts = 0
 
     def write_line(self, text: str, turned_away: bool = False, attempt: bool = False, **fields: Any) -> None:
-        """Writes a line; the fields are what the text says, for forms that keep them apart."""
+        """Writes a line; the fields are the values in the text, for structured formats."""
         now = self._clock()
         if int(now) != self._second:
             if self._dropped:
@@ -67,6 +67,6 @@
 
     @staticmethod
     def print_line(line: str) -> None:
-        """Prints a line; a reader that is gone must not make a request, or the shutdown, fail."""
+        """Prints a line, ignoring a closed pipe, which must not fail a request or the shutdown."""
         with suppress(OSError, ValueError):
             print(line, file=sys.stderr, flush=True)
--- a/brambleplank/net/loop.py
+++ b/brambleplank/net/loop.py
@@ -1,7 +1,7 @@
-"""The one reactor of this program: Twisted's for Linux, with its timers on the monotonic clock.
+"""The reactor of this program: Twisted's epoll reactor with timers on the monotonic clock.
 
-Twisted's own reactors take their seconds from the wall clock. Stepped back by an hour, each timer that is
-pending then fires an hour late: deadlines, silences and the end of a planned stop would wait that long.
+Twisted's reactors use the wall clock. If it is stepped back by an hour, every pending timer fires an hour
+late: deadlines, silence detection and the end of a graceful shutdown would be delayed that long.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class MonotonicReactor(EPollReactor):
-    """Timers are spans of real time, whatever the wall clock does."""
+    """An epoll reactor whose timers are unaffected by steps of the wall clock."""
 
     seconds = staticmethod(time.monotonic)
 
--- a/brambleplank/net/message_times.py
+++ b/brambleplank/net/message_times.py
@@ -1,4 +1,4 @@
-"""How long messages take at servers, as seen by this proxy."""
+"""Message times at servers as measured by this proxy."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from brambleplank.records import Server
 
 SWEEP_INTERVAL = 0.1  # seconds
-SILENCE_THRESHOLD = 1.0  # seconds after which a line without an answer is reported
-LONG_TIME_DIVISOR = 3  # a message time is long from this part of the shortest objective for messages on
-REPORT_INTERVAL = 1.0  # seconds between two reports of one server, at least
+SILENCE_THRESHOLD = 1.0  # seconds after which an unanswered line makes its session silent
+LONG_TIME_DIVISOR = 3  # message times above the shortest message objective divided by this are long
+REPORT_INTERVAL = 1.0  # minimum seconds between two periodic reports on a server
 
 
 class MessageTimes:
-    """Combines the delays of probes with lines that wait for an answer, and reports both to the decisions."""
+    """Reports message times to the decisions: from probe delays, and from lines that are still unanswered."""
 
     def __init__(
         self, clock: Clock, settings: Settings, balancer: Balancer, clients: Iterable[ClientConnection]
@@ -29,25 +29,25 @@
         self._clients = clients
 
     def update_settings(self, settings: Settings) -> None:
-        """Goes by new settings."""
+        """Applies new settings."""
         self._settings = settings
 
     def sweep(self) -> None:
-        """Reports connections that bring nothing back, and their servers; repeats itself."""
+        """Reports silent sessions and servers with long message times, and schedules the next sweep."""
         self._clock.call_later(SWEEP_INTERVAL, self.sweep)
         now = self._clock.now()
         longest = self.longest_waits(now)
         for server in list(self._balancer.servers.values()):
             endpoint = upstream_endpoint_of(server)
             endpoint.record_longest_wait(longest.get(endpoint, 0.0))
-            # Probes report the end of a slow spell; without them it is reported here.
+            # The next probe reports that a server is no longer slow; without probes, it is reported here.
             was_slow = endpoint.reported_slow and not endpoint.probe_delays
             is_due = self.is_long(endpoint.longest_wait) or was_slow
             if is_due and now >= endpoint.reported_at + REPORT_INTERVAL:
                 self.record_message_time(server, 0.0)
 
     def longest_waits(self, now: float) -> dict[object, float]:
-        """Returns for how many seconds the oldest line has waited, by server; reports silent sessions."""
+        """Returns the age of the oldest unanswered line in seconds, by server; reports silent sessions."""
         longest: dict[object, float] = {}
         for client in list(self._clients):
             upstream = client.established_upstream
@@ -60,13 +60,13 @@
         return longest
 
     def is_long(self, seconds: float) -> bool:
-        """Returns whether a message time is long enough to be reported again and again."""
+        """Returns whether a message time is so long that it is reported periodically."""
         return seconds > self._settings.shortest_message_objective / LONG_TIME_DIVISOR
 
     def record_message_time(self, server: Server, seconds: float) -> None:
-        """Reports how long messages take at a server, by a probe or by the lines that wait there.
+        """Reports the message time at a server: that of a probe, or the longest wait of a line if longer.
 
-        A hung server answers probes at once, so lines that it owes an answer to say more.
+        A hung server answers probes at once, so its unanswered lines have to count as well.
         """
         endpoint = upstream_endpoint_of(server)
         now = self._clock.now()
--- a/brambleplank/net/metrics.py
+++ b/brambleplank/net/metrics.py
@@ -17,17 +17,17 @@
 
 
 class Metrics:
-    """Counters by name and label; the sets of both are small and fixed."""
+    """Counters by name and label; both have small, fixed sets of values."""
 
     def __init__(self) -> None:
         self.counters: dict[str, Counter[str]] = {}
 
     def count(self, name: str, label: str) -> None:
-        """Adds one to a counter."""
+        """Increments a counter."""
         self.counters.setdefault(name, Counter())[label] += 1
 
     def text(self, other_counters: Mapping[str, Mapping[str, int]]) -> str:
-        """Returns all counters, these and those that others keep, by name and label."""
+        """Returns these and the other counters in Prometheus text format, sorted by name and label."""
         lines = []
         for name, counts in sorted({**self.counters, **other_counters}.items()):
             lines.append(f"# HELP brambleplank_{name}_total {HELP[name]}")
--- a/brambleplank/net/operator_commands.py
+++ b/brambleplank/net/operator_commands.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a proxy, and what they are answered."""
+"""Operator commands of a proxy, and their results."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 @dataclass(frozen=True)
 class CommandResult:
-    """The answer to an operator: whether it is done, or was so already, and a line of text."""
+    """The result of a command: whether its effect is in place, and a line of text for the operator."""
 
     done: bool
     text: str
 
 
 class CommandTarget(Protocol):
-    """What commands need of the proxy."""
+    """The part of the proxy that commands use."""
 
     @property
     def serving(self) -> bool:
-        """Whether a list of servers has come with one that is ready."""
+        """Whether an endpoint list with a ready server has been received."""
 
     @property
     def stopping(self) -> bool:
         """Whether a graceful shutdown has begun."""
 
     def apply_endpoints(self, endpoints: list[Endpoint], whole: bool) -> None:
-        """Applies endpoints to the decisions; `whole`: those that are not among them are gone."""
+        """Applies endpoints to the decisions; `whole`: servers that are not among them are removed."""
 
 
 class OperatorCommands:
-    """Carries out operator commands.
+    """Executes operator commands.
 
-    A command binds every process of the proxy. Calling it twice changes nothing more, and says so in the log.
+    A command applies to every process of the proxy. Commands are idempotent; the log marks repeated ones.
     """
 
     def __init__(
@@ -60,15 +60,15 @@
         self._siblings = siblings
 
     def readiness(self) -> CommandResult:
-        """Returns whether the proxy is ready for clients."""
+        """Returns whether the proxy is ready to accept clients."""
         if self._target.stopping:
             return CommandResult(False, "leaving")
         if not self._target.serving:
-            return CommandResult(False, "no list of servers yet")
+            return CommandResult(False, "no endpoint list with a ready server yet")
         return CommandResult(True, "ready, draining" if self.draining else "ready")
 
     def take_out_of_rotation(self, server_id: str) -> CommandResult:
-        """Leaves a server out until it is returned, and migrates its sessions. Raises UnknownServerError."""
+        """Takes a server out of rotation and migrates its sessions. Raises UnknownServerError."""
         now = self._clock.now()
         was_out = server_id in self._rotation.out_since
         self._target.apply_endpoints([self._rotation.take_out(now, server_id)], False)
@@ -78,14 +78,14 @@
         return self._persist(CommandKind.TAKE_OUT, server_id, f"{server_id} is out")
 
     def return_to_rotation(self, server_id: str) -> CommandResult:
-        """Uses a server again. Raises UnknownServerError."""
+        """Puts a server back into rotation. Raises UnknownServerError."""
         was_out = server_id in self._rotation.out_since
         self._target.apply_endpoints([self._rotation.put_back(self._clock.now(), server_id)], False)
         self._log.write_line(f"operator: {server_id} back" + ("" if was_out else " (it was not out)"))
         return self._persist(CommandKind.RETURN, server_id, f"{server_id} is in use")
 
     def drain(self) -> CommandResult:
-        """Migrates all clients away; those who still come are served, and migrated as well."""
+        """Drains the proxy: migrates all clients; clients that still connect are served and migrated too."""
         if not self.draining and not self._target.stopping:
             self._balancer.begin_shutdown(self._clock.now())
         self._log.write_line("operator: drain" + (" (it was)" if self.draining else ""))
@@ -94,7 +94,7 @@
         return CommandResult(True, "draining")
 
     def resume(self) -> CommandResult:
-        """Ends a drain."""
+        """Ends a drain; sessions that have not been migrated yet stay."""
         if self._target.stopping:
             return CommandResult(False, "leaving")
         self._log.write_line("operator: resume" + ("" if self.draining else " (it was not draining)"))
@@ -105,7 +105,7 @@
         return CommandResult(True, "taking flows")
 
     def adopt_drain(self, now: float) -> None:
-        """Goes on with a drain that was begun at the process before."""
+        """Continues a drain that was started at the predecessor process."""
         self.draining = True
         self._balancer.begin_shutdown(now)
 
@@ -113,5 +113,5 @@
         if self._siblings.broadcast_command(command, server_id):
             return CommandResult(True, text)
         return CommandResult(
-            False, f"{text} here, and not written yet: a restart would forget it; call again"
+            False, f"{text} on this process, but not saved yet: a restart would lose it; repeat the command"
         )
--- a/brambleplank/net/peer_exchange.py
+++ b/brambleplank/net/peer_exchange.py
@@ -1,4 +1,4 @@
-"""What this proxy exchanges with the other proxies: message times, loads, permits, servers of groups."""
+"""Reports exchanged with the other proxies: message times, loads, slow-start permits, servers of groups."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class PeerExchange:
-    """Hands reports of other proxies to the decisions, and reports of the decisions to the link.
+    """Passes reports of other proxies to the decisions, and those of the decisions to the link.
 
-    Nothing is sent without a link, where the settings do not allow it, or once a successor speaks for this
-    proxy.
+    Nothing is sent if there is no link, if the settings don't allow it, or if a successor process reports for
+    this proxy.
     """
 
     def __init__(
@@ -42,19 +42,19 @@
         self._server_tags: ServerTags | None = None
 
     def set_link(self, link: PeerLink | None) -> None:
-        """Registers the link to the other proxies; None ends what is sent to them."""
+        """Sets the link to the other proxies; None: nothing more is sent to them."""
         self.link = link
 
     def update_settings(self, settings: Settings) -> None:
-        """Goes by new settings."""
+        """Applies new settings."""
         self._settings = settings
 
     def endpoints_changed(self) -> None:
-        """Forgets the servers' tags, which depend on the whole list."""
+        """Discards the cached tags, whose width and uniqueness depend on the whole list."""
         self._server_tags = None
 
     def server_tags(self) -> ServerTags:
-        """Returns how proxies name the servers to each other."""
+        """Returns the tags that identify servers in messages between proxies."""
         if self._server_tags is None:
             self._server_tags = ServerTags(self._balancer.servers.values())
             if ambiguous := self._server_tags.ambiguous_servers():
@@ -65,7 +65,7 @@
     # Received from other proxies.
 
     def message_time_received(self, server: Server, seconds: float, typical_delay: float) -> None:
-        """Message time at a server, and the typical delay of a probe within its zone (0: not reported)."""
+        """Handles a message time, and the typical delay of a probe in the server's zone (0: not reported)."""
         endpoint = upstream_endpoint_of(server)
         endpoint.record_typical_delay(typical_delay or endpoint.reported_typical_delay)
         self._balancer.message_time_reported(self._clock.now(), server, seconds)
@@ -73,23 +73,23 @@
     def load_report_received(
         self, peer: int, connections: dict[Server, int], complete: bool, is_aggregate: bool
     ) -> None:
-        """Connections by server at a peer, or summed over the fleet; `whole`: it has none elsewhere."""
+        """Handles connections by server of a peer or the aggregate; `complete`: there are no others."""
         self._balancer.load_report_received(
             self._clock.now(), peer, connections.items(), complete, is_aggregate
         )
 
     def permit_message_received(self, peer: int, server: Server, message: int) -> None:
-        """A request for a slow-start permit, or the answer to one."""
+        """Handles a request for a slow-start permit, or the answer to one."""
         self._balancer.permit_message_received(self._clock.now(), peer, server, message)
 
     def group_server_received(self, ring_position: int, server: Server) -> None:
-        """Where an affinity group is placed."""
+        """Handles the report of an affinity group's server."""
         self._balancer.group_server_reported(self._clock.now(), ring_position, server)
 
     # Sent to other proxies.
 
     def report_message_time(self, server: Server, seconds: float) -> None:
-        """Reports a message time, with the typical delay of probes if that has changed."""
+        """Reports a message time, and the typical delay of probes if it has changed."""
         if link := self._active_link():
             link.report_message_time(server, seconds, self._health_probes.take_unreported_delay(server))
 
@@ -100,11 +100,12 @@
         recipient: int | None,
         is_aggregate: bool,
     ) -> None:
-        """Sends connections by server to one peer, or to all of them (None)."""
+        """Sends connections by server to the peer of a number, or to all peers (None)."""
         link = self._active_link()
         if link is None:
             return
-        # Without the predecessor's connections, those that it hands off would look like new ones to others.
+        # Connections at the predecessor are included; otherwise each handoff would look like a new
+        # connection.
         at_predecessor = self._siblings.connections_at_predecessor
         counts = {server: count + at_predecessor(server) for server, count in connections}
         for server in self._balancer.ready_servers if complete else ():
@@ -113,12 +114,12 @@
         link.send_load_report(counts, complete, recipient, is_aggregate)
 
     def send_permit_message(self, server: Server, recipient: int, message: int) -> None:
-        """Asks a peer for a slow-start permit, or answers one that asked."""
+        """Requests a slow-start permit from a peer, or answers a peer's request."""
         if link := self._active_link():
             link.send_permit_message(server, recipient, message)
 
     def report_group_servers(self, group_servers: Iterable[tuple[int, Server]]) -> None:
-        """Reports where affinity groups are placed."""
+        """Reports the servers of affinity groups."""
         if link := self._active_link():
             link.report_group_servers(dict(group_servers))
 
--- a/brambleplank/net/peer_link.py
+++ b/brambleplank/net/peer_link.py
@@ -1,4 +1,4 @@
-"""Datagrams between proxies; the text form of the oldest releases, a message time, is still read."""
+"""Datagrams between proxies; the text format of the oldest releases, a message time, is still accepted."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from brambleplank.records import Server
 from brambleplank.server_tags import ServerTags
 
-MAX_DATAGRAM_SIZE = 256  # bytes of a datagram
-MAX_MESSAGE_TIME = 3600.0  # seconds; more is no message time
+MAX_DATAGRAM_SIZE = 256  # bytes
+MAX_MESSAGE_TIME = 3600.0  # seconds; larger values are invalid
 
 
 class PeerLink(PeerMessenger, DatagramProtocol):
-    """Sends and receives; other proxies are known by their numbers, and believed by their addresses."""
+    """Sends and receives datagrams; peers have numbers and are identified by their source addresses."""
 
     noisy = False
     transport: Any
@@ -34,7 +34,7 @@
         numbers: dict[Address, int],
         send_failed: Callable[[int | None], None] | None = None,
     ) -> None:
-        """`send_failed` gets the errno of a datagram that this machine could not send."""
+        """`send_failed` gets the errno of each failed send."""
         self._send_failed = send_failed
         super().__init__(
             self.write,
@@ -46,33 +46,34 @@
             group_server_received,
             permit_message_received,
         )
-        self._readers: dict[int, Callable[[bytes, int], None]] = {}  # of further forms, by first byte
+        self._readers: dict[int, Callable[[bytes, int], None]] = {}  # of other formats, by first byte
         self.set_peers(broadcast_address, numbers)
 
     def set_peers(self, broadcast_address: Address, numbers: dict[Address, int]) -> None:
-        """Sets where datagrams to all go, and the proxies' numbers by address; without any, none is sent."""
+        """Sets the broadcast address and the peers' numbers by address; without peers, nothing is sent."""
         self.broadcast_address = broadcast_address
         self.numbers = numbers
         self.known = {number: address for address, number in numbers.items()}
 
     def add_datagram_handler(self, first_byte: int, read: Callable[[bytes, int], None]) -> None:
-        """Registers who reads the datagrams of a further form, each with the number of its sender."""
+        """Registers the handler of datagrams of another format; it gets the data and the sender's number."""
         self._readers[first_byte] = read
 
     def write(self, message: bytes, recipient: int | None) -> None:
-        """Sends a datagram to the proxy of that number, or to all of them (None)."""
+        """Sends a datagram to the peer of a number, or to all peers (None)."""
         if self.known and (recipient is None or recipient in self.known):
             try:
                 self.transport.write(
                     message, self.broadcast_address if recipient is None else self.known[recipient]
                 )
             except OSError as error:
-                # As if lost on its way, which every reader has to bear; the other messages still go out.
+                # Treated like a datagram lost on the network, which peers tolerate; later ones are still
+                # sent.
                 if self._send_failed is not None:
                     self._send_failed(error.errno)
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
-        """Reads what known proxies sent: anything else could report every server as overloaded."""
+        """Handles datagrams from known peers only; other senders could report every server as overloaded."""
         if addr not in self.numbers or not datagram:
             return
         try:
@@ -86,7 +87,7 @@
             return
 
     def read_text(self, datagram: bytes) -> None:
-        """Reads a message time, and a typical delay where there is one. Raises ValueError or IndexError."""
+        """Parses the text format: id, message time, optional delay. Raises ValueError or IndexError."""
         server_id, *words = datagram.decode().split(" ")
         seconds = float(words[0])
         typical_delay = float(words[1]) if len(words) > 1 else 0.0
--- a/brambleplank/net/proxy.py
+++ b/brambleplank/net/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy: puts its parts together, and answers the decisions and its source of endpoints."""
+"""The proxy: assembles its components, hosts the decisions and handles calls of endpoint sources."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 from brambleplank.net.upstream_endpoint import upstream_endpoint_of
 from brambleplank.records import Request, Server
 
-MIN_FREE_SHARE_FOR_PROBES = 1 / 4  # share of the descriptors that must be free for a probe
+MIN_FREE_SHARE_FOR_PROBES = 1 / 4  # share of the descriptors
 
 
 class Proxy:
-    """One proxy: the `Host` of the decisions, and what sources of endpoints call."""
+    """A proxy: implements the `Host` of the decisions and the callbacks of endpoint sources."""
 
     source: EndpointSource
 
@@ -51,7 +51,7 @@
         descriptors: int,
         probe: Callable[[ConnectionAdmission, HealthProbes, Server, Address], HealthProbe],
     ) -> None:
-        """`descriptors` may be open at once; `probe` opens a probe of a server at an address."""
+        """`descriptors` is the descriptor limit; `probe` connects to a server's address and sends a probe."""
         self.clock = clock
         self.log_writer = log
         self.settings = settings
@@ -104,10 +104,10 @@
         )
         clock.call_later(SWEEP_INTERVAL, unanswered.sweep)
 
-    # Collaborators that are made with this proxy, or begin later than it.
+    # Collaborators that are set after construction.
 
     def set_endpoint_source(self, source: EndpointSource) -> None:
-        """Registers what follows the list of servers, in place of the one before."""
+        """Sets the endpoint source, in place of a previous one."""
         self.source = source
 
     @property
@@ -116,22 +116,22 @@
         return self.peer_exchange.link
 
     def set_drained_callback(self, drained: Callable[[], None]) -> None:
-        """Registers what is called once, when a graceful shutdown has no client left."""
+        """Sets the callback for the end of a graceful shutdown, when no client is left."""
         self._drained = drained
 
     def adopt_state(self, started: float, serving: bool) -> None:
-        """Goes on with the start time and the readiness of the process before."""
+        """Adopts the start time and the readiness of the predecessor process."""
         self.requests.resumed_sessions.adopt_start_time(started)
         self.serving = serving
 
     @property
     def started_at(self) -> float:
-        """When the first process of this proxy began, in `Clock.now`."""
+        """When the first process of this proxy started, by `Clock.now`."""
         return self.requests.resumed_sessions.started_at
 
     @property
     def draining(self) -> bool:
-        """Whether an operator has the proxy drained."""
+        """Whether an operator is draining the proxy."""
         return self.operator_commands.draining
 
     def _report_drained(self) -> None:
@@ -139,21 +139,21 @@
             self._drained()
 
     def migrate_client(self, client: ClientConnection) -> None:
-        """Has a client come again whose session has ended over the whole fleet."""
+        """Migrates a client whose session a fleet-wide rule ends."""
         self.requests.migrate_client(client)
 
     def accepts_requests(self) -> bool:
-        """Returns whether clients should send their requests here."""
+        """Returns whether clients should send new requests to this proxy."""
         fleet_admission = self.requests.fleet_admission
         is_ready = self.serving and (fleet_admission is None or fleet_admission.ready())
         return is_ready and not self.draining and (self.siblings.has_successor or not self.stopping)
 
-    # Called by the source of endpoints.
+    # Called by the endpoint source.
 
     def endpoints_received(
         self, endpoints: list[Endpoint], addresses: dict[str, Address], whole: bool
     ) -> None:
-        """An endpoint list has come, with addresses by server; `whole`: what is not in it is removed."""
+        """Handles an endpoint list and addresses by server; `whole`: servers that it lacks are removed."""
         now = self.clock.now()
         endpoints = self.start_times.to_monotonic(
             now, self.clock.wall_time(), endpoints, whole, self.settings.slow_start_time
@@ -164,18 +164,18 @@
         for server_id, address in addresses.items():
             upstream_endpoint_of(self.balancer.find_or_add_server(now, server_id)).set_address(address)
         self.apply_endpoints(self.rotation.apply(endpoints, whole), whole)
-        # Also where operators have taken all of them out: requests are answered at once then.
+        # Servers that operators have taken out count too: if all are out, requests are rejected at once.
         is_any_ready = any(endpoint.status is EndpointStatus.READY for endpoint in endpoints)
         self.serving = self.serving or is_any_ready
 
     def endpoint_list_confirmed(self) -> None:
-        """The list is complete as of now, as a sign of life from its source shows."""
+        """Records that the list is current, as a keepalive from its source shows."""
         self.start_times.list_completed(self.clock.now())
 
     def apply_endpoints(self, endpoints: list[Endpoint], whole: bool) -> None:
-        """Applies endpoints to the decisions; `whole`: those that are not among them are removed."""
+        """Applies endpoints to the decisions; `whole`: servers that are not among them are removed."""
         now = self.clock.now()
-        if self.serving:  # all of a first list is new
+        if self.serving:  # in the first list, all servers are new and not worth a line
             self.event_log.endpoints_changed(
                 now, endpoints, self.balancer.servers, self.settings.slow_start_time
             )
@@ -184,12 +184,12 @@
         self.health_probes.close_unready()
 
     def endpoint_list_failed(self, why: str) -> None:
-        """The source could not read the list; the one that is held stays in use."""
+        """Handles a source's failure to read the list; the current list stays in use."""
         self.log_writer.write_line(f"list: {why}", list=why)
         self.balancer.endpoint_list_failed(self.clock.now())
 
     def metrics_text(self) -> str:
-        """Returns all counters of this process, in the form that Prometheus reads."""
+        """Returns all counters of this process in Prometheus text format."""
         return self.event_log.metrics.text(
             {
                 "rule_violations": {rule.value: n for rule, n in self.invariants.violations.items()},
@@ -199,7 +199,7 @@
         )
 
     def update_settings(self, settings: Settings) -> None:
-        """Goes by new settings; what was derived from the old ones is derived anew where it is read."""
+        """Applies new settings to all components."""
         self.settings = settings
         self.health_probes.update_settings(settings)
         self.message_times.update_settings(settings)
@@ -211,17 +211,17 @@
     # Called by the decisions (`Host`).
 
     def start_attempt(self, request: Request, server: Server, max_wait: float) -> None:
-        """Begins an attempt, which is given up after `max_wait` seconds."""
+        """Starts an attempt with a timeout of `max_wait` seconds."""
         client: ClientConnection = request.handle
         client.request = request
         self.siblings.attempt_started(server)
         client.open_upstream(upstream_endpoint_of(server), max_wait)
 
     def may_connect(self, upstream: UpstreamConnection) -> bool:
-        """Returns whether an attempt that the decisions have just asked for may begin."""
+        """Returns whether an attempt may connect; checks the request invariants just before it does."""
         request = upstream.client.request
         now = self.clock.now()
-        if request is None:  # a session from before this process, which begins no attempt
+        if request is None:  # a resumed session, which is not an attempt
             return True
         if not self.invariants.may_start_attempt(now, upstream.client.id, request):
             return False
@@ -233,7 +233,7 @@
         return True
 
     def may_send_opening(self, upstream: UpstreamConnection) -> bool:
-        """Returns whether the opening of an attempt may be written, now that its connection is up."""
+        """Returns whether an attempt whose connection is up may send its opening."""
         request = upstream.client.request
         if request is None:
             return True
@@ -242,7 +242,7 @@
         )
 
     def cancel_attempt(self, request: Request, number: int) -> None:
-        """Cancels an attempt by its number; its outcome is reported in the loop's next pass."""
+        """Cancels an attempt by its number; its outcome is reported in the event loop's next iteration."""
         client: ClientConnection = request.handle
         upstream = client.upstreams[number]
         if not upstream.ended:
@@ -253,27 +253,27 @@
     def report_attempt_ended(
         self, request: Request, upstream: UpstreamConnection, outcome: AttemptOutcome
     ) -> None:
-        """Reports the outcome of an attempt that the decisions have ended."""
+        """Reports the outcome of an attempt or session that the decisions have cancelled or migrated."""
         now = self.clock.now()
         self.balancer.attempt_ended(
             now, request, upstream.attempt_number, outcome, now - upstream.started_at, request.answered
         )
 
     def reject(self, request: Request, retry_after: float) -> None:
-        """Answers a request that trying again is harmless, best after `pause` seconds (0: no advice)."""
+        """Answers that a retry is safe, preferably after `retry_after` seconds (0: no advice)."""
         client: ClientConnection = request.handle
-        client.request = request  # the log says why; it may be rejected before it is placed
+        client.request = request  # for the reason in the log; the request may not have had an attempt
         self.invariants.request_rejected(client.id, request)
         client.reject(retry_after)
 
     def abort(self, request: Request) -> None:
-        """Answers a request that it may or may not have run."""
+        """Answers that the request may or may not have run."""
         client: ClientConnection = request.handle
         client.request = request
         client.abort("aborted")
 
     def migrate(self, request: Request) -> None:
-        """Ends a session politely, so that its client comes again."""
+        """Ends a session gracefully, so that its client reconnects."""
         client: ClientConnection = request.handle
         upstream = client.established_upstream
         if upstream is None or upstream.ended:
@@ -283,14 +283,14 @@
         self.clock.call_later(0, self.report_attempt_ended, request, upstream, AttemptOutcome.CANCELLED)
 
     def probe(self, server: Server) -> None:
-        """Probes a server, where that is allowed and does not take a scarce descriptor."""
-        # Near the limit, a probe would take a descriptor that the list of servers or an answer needs.
+        """Probes a server if the settings, the handoff to a successor and the descriptors allow it."""
+        # Near the limit, a probe could take a descriptor that the endpoint source or an answer needs.
         has_room = self.admission.free_share() > MIN_FREE_SHARE_FOR_PROBES
         if self.settings.probes_endpoints and not self.siblings.has_successor and has_room:
             self.health_probes.send(server)
 
     def report_message_time(self, server: Server, seconds: float) -> None:
-        """Reports a message time to the other proxies."""
+        """Reports a server's message time to the other proxies."""
         self.peer_exchange.report_message_time(server, seconds)
 
     def send_load_report(
@@ -300,40 +300,41 @@
         recipient: int | None,
         is_aggregate: bool,
     ) -> None:
-        """Sends connections by server to one proxy, or to all of them (None)."""
+        """Sends connections by server to the proxy of a number, or to all others (None)."""
         self.peer_exchange.send_load_report(connections, complete, recipient, is_aggregate)
 
     def send_permit_message(self, server: Server, recipient: int, message: int) -> None:
-        """Asks a proxy for a slow-start permit, or answers one that asked."""
+        """Requests a slow-start permit from a proxy, or answers a proxy's request."""
         self.peer_exchange.send_permit_message(server, recipient, message)
 
     def report_group_servers(self, group_servers: Iterable[tuple[int, Server]]) -> None:
-        """Reports where affinity groups are placed to the other proxies."""
+        """Reports the servers of affinity groups to the other proxies."""
         self.peer_exchange.report_group_servers(group_servers)
 
     def free_descriptor_share(self) -> float:
-        """Returns the share of descriptors that is free; 0 if the fleet allows no further attempt.
+        """Returns the free share of the descriptors; 0 if the fleet denies the retry being decided on.
 
-        A limit of the fleet on retries counts as no room, since retries beyond it make an overload worse.
+        Reporting no free descriptors makes the decisions skip the retry; retries beyond the fleet's limit
+        would make an overload worse.
         """
         return self.admission.free_share() if self.requests.take_retry_permission() else 0.0
 
     def follow_endpoints(self) -> None:
-        """Has the source follow the list, if it does not."""
+        """Makes the endpoint source follow the list, if it is not doing so."""
         self.source.ensure_watching()
 
     def call_later(self, delay: float, call: Callable[[float], None]) -> None:
-        """Calls with the time after a delay in seconds, once what had arrived by then has been read."""
+        """Calls with the time after a delay in seconds, once data that has arrived by then has been read."""
         self.clock.call_after_reads(delay, lambda: call(self.clock.now()))
 
     def log(self, text: str) -> None:
-        """Writes a line to the log."""
+        """Writes a line to the proxy's log."""
         self.log_writer.write_line(text)
 
     # Exceptions and shutdown.
 
     def call_or_abort(self, client: ClientConnection, call: Callable[..., None], *arguments: object) -> None:
-        """Calls; an exception is logged and answered, or the client would wait for an answer in vain."""
+        """Calls; an exception is logged, and the client's request aborted so that it gets an answer."""
         try:
             call(*arguments)
         except Exception as error:
@@ -341,13 +342,13 @@
             client.abort("fault")
 
     def report_exception(self, error: BaseException, trace: TracebackType | None) -> None:
-        """Logs an exception, which has cost one connection, and where it was raised."""
+        """Logs an exception, which affected one connection, and where it was raised."""
         where = traceback.extract_tb(trace)[-1] if trace else None
         at = f"{where.filename.rsplit('/', 1)[-1]}:{where.lineno}" if where else "-"
         self.log_writer.write_line(f"fault {type(error).__name__} at {at}: {error}")
 
     def stop(self) -> None:
-        """Begins a graceful shutdown; the callback is called once no client is left."""
+        """Starts a graceful shutdown; the drained callback is called once no client is left."""
         if self.stopping:
             return
         self.stopping = True
--- a/brambleplank/net/request_lifecycle.py
+++ b/brambleplank/net/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The way of each request and session between its client, the decisions and its servers."""
+"""The lifecycle of requests and sessions, between clients, the decisions and servers."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from brambleplank.net.sibling_processes import SiblingProcesses
 from brambleplank.net.upstream_endpoint import upstream_endpoint_of
 
-# Reason codes of requests that were answered without being established here, or whose client has left;
-# "broke" is a session that ended while it was handed off to this process.
+# Reason codes of requests that were answered, or whose client disconnected, without being established here;
+# "broke": the session ended while it was being handed off to this process.
 ANSWERED_END_CODES = frozenset(
     ("rejected", "aborted", "unplaced", "early", "fault", "overdue", "left", "handed", "broke")
 )
@@ -29,11 +29,11 @@
     AttemptOutcome.TIMEOUT,
     AttemptOutcome.UNREACHABLE,
     AttemptOutcome.RESET,
-)  # outcomes that count against a server over the fleet
+)  # outcomes that fleet members observe as failures of the server
 
 
 class RequestLifecycle:
-    """What frontends call: requests and sessions as they begin, are established and end."""
+    """Handles the frontends' events: requests and sessions that start, are established and end."""
 
     def __init__(
         self,
@@ -53,25 +53,25 @@
         self.invariants = invariants
         self.siblings = siblings
         self.resumed_sessions = ResumedSessions(clock, balancer)
-        self.clients: dict[ClientConnection, None] = {}  # with a request or session, oldest first
+        self.clients: dict[ClientConnection, None] = {}  # clients with a request or session, oldest first
         self.fleet_admission: FleetAdmission | None = None
         self.is_shutting_down = False
-        self._retrying_client: ClientConnection | None = None  # whose attempt has just failed
+        self._retrying_client: ClientConnection | None = None  # client whose attempt has just failed
 
     def set_fleet_admission(self, fleet_admission: FleetAdmission) -> None:
-        """Registers what this process shares with the other proxies of its fleet."""
+        """Sets the fleet's admission of requests."""
         self.fleet_admission = fleet_admission
 
     def update_settings(self, settings: Settings) -> None:
-        """Goes by new settings; a request keeps the traffic class that it came with."""
+        """Applies new settings; existing requests keep their traffic class."""
         self.settings = settings
 
     def begin_shutdown(self) -> None:
-        """Sessions that are established from now on are handed off to the next process, if there is one."""
+        """Starts the shutdown: sessions established from now on are handed off to the successor, if any."""
         self.is_shutting_down = True
 
     def take_retry_permission(self) -> bool:
-        """Returns whether the fleet allows the attempt that is being decided on; asked once an attempt."""
+        """Returns whether the fleet allows the attempt that is being decided on; checks once per attempt."""
         client = self._retrying_client
         self._retrying_client = None
         return (
@@ -81,7 +81,7 @@
             or self.fleet_admission.allows_retry(client)
         )
 
-    # Of clients.
+    # Events of clients.
 
     def request_received(
         self,
@@ -90,7 +90,7 @@
         answer_timeout: float,
         reconnecting: bool,
     ) -> None:
-        """A client has opened a request; its answer is due at `client.opened_at + wait` (seconds)."""
+        """Handles a new request, whose answer is due `answer_timeout` seconds after `client.opened_at`."""
         self.clients[client] = None
         if self.fleet_admission:
             decision = self.fleet_admission.admit(client, opening)
@@ -109,9 +109,9 @@
         )
 
     def retry_after(self, requested_delay: float | None) -> float:
-        """Returns after how many seconds a rejected client should come again: spread, as they come in waves.
+        """Returns a rejected client's retry-after in seconds, randomized as clients are rejected in bursts.
 
-        `pause` is what a rule says of it, if one does.
+        `requested_delay` is the delay set by a fleet rule, if any.
         """
         max_delay = self.settings.max_retry_after
         if requested_delay is not None:
@@ -119,7 +119,7 @@
         return max_delay * self.balancer.rng.uniform(0.5, 1.0) if self.settings.may_send_retry_after else 0.0
 
     def session_resumed(self, client: ClientConnection, opening: RequestOpening, server_id: str) -> None:
-        """A client goes on with a session that was open at a server before this proxy began."""
+        """Handles a client that resumes a session opened at a server before this proxy started."""
         self.clients[client] = None
         server = self.resumed_sessions.resumable_server(server_id, self.settings.drain_grace)
         if server is None:
@@ -132,7 +132,7 @@
         client.open_upstream(upstream_endpoint_of(server), 0.0)
 
     def client_disconnected(self, client: ClientConnection, reset: bool) -> None:
-        """The client has ended its connection, or broken the protocol; its attempt or session ends."""
+        """Handles a client that disconnected or violated the protocol; ends its attempts or session."""
         now = self.clock.now()
         if client.request and not client.established_upstream:
             self.balancer.client_disconnected(now, client.request)
@@ -147,21 +147,21 @@
                 )
 
     def client_closed(self, client: ClientConnection) -> None:
-        """A client's connection is closed."""
+        """Removes a client whose connection is closed."""
         self.clients.pop(client, None)
         self.admission.client_closed(client)
 
     def notice(self, client: ClientConnection) -> str:
-        """Returns the notice for an established client that asked for it; "": none."""
+        """Returns the retirement notice for an established client that requested notices; "": none."""
         return self.fleet_admission.notice(client) if self.fleet_admission else ""
 
     def migrate_client(self, client: ClientConnection) -> None:
-        """Has a client come again whose session has ended over the whole fleet."""
+        """Migrates a client whose session a fleet-wide rule ends."""
         if client.request and client.established_upstream and not client.established_upstream.ended:
             self.balancer.migrate(client.request)
 
     def client_ended(self, client: ClientConnection, turned_away: bool) -> None:
-        """A client has its final answer, or its connection is closed without one."""
+        """Handles a client that has its final answer, or whose connection closed without one."""
         age = self.clock.now() - client.opened_at if client.opened_at else 0.0
         self.event_log.client_ended(client, age, turned_away)
         if client.id:
@@ -172,21 +172,21 @@
             self.fleet_admission.request_ended(client, client.end_code == "rejected")
 
     def abort_overdue(self, client: ClientConnection) -> None:
-        """Answers a request that the decisions have left without an answer."""
+        """Aborts a request that the decisions did not answer in time."""
         self.client_disconnected(client, False)
         client.abort("overdue")
 
-    # Of servers.
+    # Events of servers.
 
     def upstream_established(self, upstream: UpstreamConnection) -> None:
-        """A server has accepted a request, or goes on with a session."""
+        """Handles a server's acceptance of a request, or of a resumed session."""
         client = upstream.client
         now = self.clock.now()
         if self.is_shutting_down and self.siblings.has_successor:
             self.clock.call_later(0, self.siblings.hand_off, client)
         if client.resumed_session:
             session = client.resumed_session
-            upstream.attempt_number = 0  # the request begins here; this may be the second dial
+            upstream.attempt_number = 0  # the request starts here, even if an earlier connection failed
             client.request = self.balancer.request_received(
                 now,
                 client,
@@ -210,7 +210,7 @@
             )
 
     def session_handed_off(self, upstream: UpstreamConnection) -> None:
-        """Another process of this proxy goes on with a session."""
+        """Handles a session that another process of this proxy has taken over."""
         request = upstream.client.request
         now = self.clock.now()
         if request:
@@ -224,7 +224,7 @@
             )
 
     def upstream_ended(self, upstream: UpstreamConnection, outcome: AttemptOutcome, reset: bool) -> None:
-        """An attempt or a session has ended; `reset`: by a reset of the connection."""
+        """Handles the end of an attempt or session; `reset`: by a connection reset."""
         client = upstream.client
         now = self.clock.now()
         if upstream.established:
@@ -252,10 +252,10 @@
 
 
 def outcome_of_disconnect(upstream: UpstreamConnection, reset: bool) -> AttemptOutcome:
-    """Returns the outcome of an attempt or session that its client has ended.
+    """Returns the outcome of an attempt or session whose client disconnected.
 
-    An attempt without an answer is abandoned: counted as failed, clients that leave early would lower the
-    concurrency limit.
+    An attempt that was not established is abandoned: counted as failed, clients that disconnect early would
+    lower the concurrency limit.
     """
     if not upstream.established:
         return AttemptOutcome.ABANDONED
--- a/brambleplank/net/resumed_sessions.py
+++ b/brambleplank/net/resumed_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions that were open at a server before this process began, and that their clients go on with."""
+"""Resumption of sessions that were open at a server before this proxy started."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from brambleplank.records import Server
 
 CONNECT_RETRY_DELAY = 0.1  # seconds
-RESUME_WINDOW = 40.0  # seconds after the start in which sessions from before it are resumed
+RESUME_WINDOW = 40.0  # seconds after the proxy's start in which sessions may be resumed
 UNREACHED_OUTCOMES = (AttemptOutcome.UNREACHABLE, AttemptOutcome.LOCAL_FAULT)
 
 
 class ResumedSessions:
-    """Decides which sessions may be resumed, and dials their servers again."""
+    """Decides which sessions may be resumed, and retries failed connections to their servers."""
 
     def __init__(self, clock: Clock, balancer: Balancer) -> None:
-        self.started_at = clock.now()  # of the first process of this proxy, in `Clock.now`
+        self.started_at = clock.now()  # start of this proxy's first process, by `Clock.now`
         self._clock = clock
         self._balancer = balancer
 
     def adopt_start_time(self, started_at: float) -> None:
-        """Goes on with the start time of the process before."""
+        """Adopts the start time of the predecessor process."""
         self.started_at = started_at
 
     def resumable_server(self, server_id: str, drain_grace: float) -> Server | None:
-        """Returns the server at which a session may go on; None if it may not.
+        """Returns the server if a session may be resumed there, otherwise None.
 
-        A client may say at any time that it has a session. Outside of the window, and at a server that has
-        been draining for half of its grace (seconds), that would let it past drains and slow start.
+        Any client can claim to have a session. Outside the window, or at a server that has been draining for
+        more than half of the drain grace (seconds), a claim would bypass drains and slow start.
         """
         now = self._clock.now()
         server = self._balancer.servers.get(server_id)
@@ -41,9 +41,10 @@
         return server
 
     def retry_connect(self, client: ClientConnection, outcome: AttemptOutcome) -> bool:
-        """Dials a server again soon that could not be reached; returns whether it is.
+        """Schedules another connection to a server that could not be reached; returns whether it did.
 
-        One lost packet at the start, where all clients dial at once, would otherwise end a session.
+        Otherwise a single lost packet after the start, when all sessions are resumed at once, would end a
+        session.
         """
         if outcome not in UNREACHED_OUTCOMES or self._clock.now() >= self.started_at + RESUME_WINDOW:
             return False
--- a/brambleplank/net/sibling_processes.py
+++ b/brambleplank/net/sibling_processes.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of the other processes of the same proxy, while one takes over from another."""
+"""The other processes of the same proxy, while one process takes over from another."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CommandKind(StrEnum):
-    """A command that binds every process of a proxy; the value is what they write to each other."""
+    """An operator command for all processes of a proxy; the values are sent between processes."""
 
     TAKE_OUT = "out"
     RETURN = "back"
@@ -22,17 +22,17 @@
     """Carries messages between two processes of one proxy."""
 
     def relay_command(self, command: CommandKind, server_id: str) -> bool:
-        """Relays an operator command that was carried out here; returns whether it outlives this process."""
+        """Relays an operator command executed here; returns whether it survives a restart of this process."""
 
     def hand_off(self, client: ClientConnection) -> None:
-        """Hands a client off to the successor, if there is one and the client can be handed off."""
+        """Hands a client off to the successor, if there is one and the client's state allows it."""
 
     def connections_at_predecessor(self, server: Server) -> int:
-        """Returns the connections at a server that the predecessor still holds."""
+        """Returns the number of connections to a server that are still at the predecessor."""
 
 
 class SiblingProcesses:
-    """The predecessor and the successor of this process; without a channel there is neither."""
+    """The predecessor and the successor of this process; without a channel, there are none."""
 
     def __init__(self) -> None:
         self.has_successor = False
@@ -40,33 +40,33 @@
         self._unreported_attempts: dict[str, int] = {}
 
     def set_channel(self, channel: SiblingChannel) -> None:
-        """Registers the channel to the other processes."""
+        """Sets the channel to the other processes."""
         self._channel = channel
 
     def set_has_successor(self, has_successor: bool) -> None:
-        """Records whether another process accepts the clients of this proxy, and speaks for it."""
+        """Records whether a successor accepts this proxy's clients and sends its reports."""
         self.has_successor = has_successor
 
     def attempt_started(self, server: Server) -> None:
-        """Counts an attempt that the successor does not know of."""
+        """Counts an attempt that has not been reported to the successor yet."""
         if self.has_successor:
             self._unreported_attempts[server.id] = self._unreported_attempts.get(server.id, 0) + 1
 
     def take_unreported_attempts(self) -> dict[str, int]:
-        """Returns the attempts since the last call, by server."""
+        """Returns and clears the number of unreported attempts, by server id."""
         attempts = self._unreported_attempts
         self._unreported_attempts = {}
         return attempts
 
     def hand_off(self, client: ClientConnection) -> None:
-        """Hands a client off to the successor, if it can be handed off."""
+        """Hands a client off to the successor, if its state allows it."""
         if self._channel is not None:
             self._channel.hand_off(client)
 
     def connections_at_predecessor(self, server: Server) -> int:
-        """Returns the connections at a server that the predecessor still holds."""
+        """Returns the number of connections to a server that are still at the predecessor."""
         return self._channel.connections_at_predecessor(server) if self._channel is not None else 0
 
     def broadcast_command(self, command: CommandKind, server_id: str = "") -> bool:
-        """Relays an operator command to the other processes; returns whether it outlives this process."""
+        """Sends an operator command to the other processes; returns whether it survives a restart."""
         return self._channel.relay_command(command, server_id) if self._channel is not None else True
--- a/brambleplank/net/signals.py
+++ b/brambleplank/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals at the start or the end of a process, where its reactor does not run yet, or no longer."""
+"""Signal handling at the start and the end of a process, while its reactor is not running."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class EarlyReload:
-    """Remembers a SIGHUP that comes before the configuration can be read again.
+    """Records a SIGHUP received before the process can reload its configuration.
 
-    Otherwise it would be lost, and this process would go on with a file that was replaced in between.
+    Otherwise the signal would be lost, and the process would run with a configuration that has been replaced.
     """
 
     def __init__(self) -> None:
@@ -20,16 +20,16 @@
         signal.signal(signal.SIGHUP, self.handle_signal)
 
     def handle_signal(self, number: int, frame: FrameType | None) -> None:  # noqa: ARG002
-        """Handles the signal."""
+        """Records the signal."""
         self.pending = True
 
     def install(self, reload: Callable[[], None]) -> None:
-        """From here on has the reactor read it again, and once at its start if a signal came meanwhile."""
+        """Makes SIGHUP call `reload` in the reactor, and calls it once if a signal was received before."""
         signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload))
         if self.pending:
             reactor.callFromThread(reload)
 
 
 def block_exit_signals() -> None:
-    """Blocks signals: Python restores their default action as it ends; one more would set the exit code."""
+    """Blocks SIGHUP and SIGTERM: at exit, Python restores their defaults, and one would set the exit code."""
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM))
--- a/brambleplank/net/unanswered_requests.py
+++ b/brambleplank/net/unanswered_requests.py
@@ -1,4 +1,4 @@
-"""Finds requests that the decisions have left without an answer, and has each answered."""
+"""Detects requests that the decisions did not answer in time, and answers them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UnansweredRequests:
-    """Looks for such requests; `answer` gives one its final answer."""
+    """Sweeps the clients for overdue requests; `answer` gives a client its final answer."""
 
     def __init__(
         self,
@@ -24,12 +24,13 @@
         self._invariants = invariants
         self._clients = clients
         self._answer = answer
-        self._suspects: set[ClientConnection] = set()  # that were overdue at the last sweep
+        self._suspects: set[ClientConnection] = set()  # overdue at the last sweep
 
     def sweep(self) -> None:
-        """Answers what is overdue twice in a row; repeats itself.
+        """Answers requests that are overdue in two consecutive sweeps, and schedules the next sweep.
 
-        After a stall of this process timers come first: the first look is made before answers are read.
+        After a stall of this process, timers run before I/O, so the first sweep may precede the reading of an
+        answer.
         """
         self._clock.call_later(SWEEP_INTERVAL, self.sweep)
         now = self._clock.now()
--- a/brambleplank/net/unix.py
+++ b/brambleplank/net/unix.py
@@ -1,4 +1,4 @@
-"""A Unix socket to listen on: one that a killed proxy left behind is replaced, one that is in use is not."""
+"""Listening on a Unix socket; a stale socket of a killed process is replaced, one in use is not."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 
 
 class SocketPathError(BrambleplankError):
-    """The path is not free; the text says why."""
+    """The socket path cannot be used; the text gives the reason."""
 
-    ADVICE = "end what listens there, or name another path"
+    ADVICE = "stop the program that listens there, or configure another path"
 
 
 class UnixClientTransport(PooledConnection, unix.Server):
-    """A client's connection on a Unix socket."""
+    """The transport of a client connection on a Unix socket."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
-        """Does nothing: a Unix socket delays nothing."""
+        """Does nothing: TCP_NODELAY does not apply to Unix sockets."""
 
 
 class UnixListener(PausableListener, unix.Port):
-    """Accepts as many connections as its factory has room for; the others wait in the kernel."""
+    """Accepts client connections on a Unix socket."""
 
     transport = UnixClientTransport
 
 
 class SocketPathLock:
-    """The right to a path, held by a lock beside it for as long as this process lives.
+    """An exclusive lock on a socket path, held in a lock file beside it until the process ends.
 
-    Two sidecars that both found a socket left behind would otherwise each remove the other's. The kernel
-    releases the lock when its holder is killed, so a socket without a holder is known to be left behind.
+    Without it, two sidecars that find a stale socket could each remove the other's new one. The kernel
+    releases the lock when its holder is killed, so a socket whose lock is free is stale.
     """
 
     def __init__(self, path: str) -> None:
@@ -52,7 +52,7 @@
             self.remove_stale_socket()
         except OSError:
             os.close(self.lock_descriptor)
-            raise SocketPathError(f"{path}: held by a living sidecar") from None
+            raise SocketPathError(f"{path}: in use by another sidecar") from None
         except SocketPathError:
             os.close(self.lock_descriptor)
             raise
@@ -64,7 +64,7 @@
         except FileNotFoundError:
             return
         if not stat.S_ISSOCK(mode):
-            raise SocketPathError(f"{self.path}: there, and no socket")
+            raise SocketPathError(f"{self.path}: exists and is not a socket")
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as client:
             client.settimeout(0.2)
             try:
@@ -77,13 +77,13 @@
         raise SocketPathError(f"{self.path}: another program listens there")
 
     def release(self) -> None:
-        """Releases the path. The lock's file stays: another process could hold a lock on a removed one."""
+        """Releases the lock. Its file stays: another process could lock a file that was just removed."""
         os.close(self.lock_descriptor)
 
 
 def create_unix_listener(
     claim: SocketPathLock, factory: Any, backlog: int, mode: int, reactor: Any
 ) -> UnixListener:
-    """Returns a unix_listener at a claimed path; `mode` is that of the socket's file."""
-    path: Any = claim.path  # Twisted's types ask for bytes, its code takes both
+    """Returns a listener at a locked path; `mode` is the mode of the socket file."""
+    path: Any = claim.path  # Twisted's types require bytes, its code accepts both
     return UnixListener(path, factory, backlog, mode, reactor)
--- a/brambleplank/net/upstream_endpoint.py
+++ b/brambleplank/net/upstream_endpoint.py
@@ -1,51 +1,50 @@
-"""How a server is reached, and what the proxy keeps of it beside the decisions' record."""
+"""The proxy's state of a server: its address, probe delays and message time reports."""
 
 from __future__ import annotations
 
 from brambleplank.model import Address
 from brambleplank.records import Server
 
-MAX_PROBE_DELAYS = 64  # of probes, remembered of a server
+MAX_PROBE_DELAYS = 64  # most recent delays kept per server
 
 
 class UpstreamEndpoint:
-    """The address of a server and its message times, in seconds; `Server.handle` points here."""
+    """A server's address and message time data, in seconds; stored as `Server.handle`."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.address: Address | None = None  # None: not known
-        self.probe_delays: list[float] = []  # of probes, newest last
-        self.reported_typical_delay = (
-            0.0  # of a probe within the server's zone, as proxies reported it; 0: none did
-        )
-        self.longest_wait = 0.0  # for how long the oldest line there has been without an answer
-        self.reported_slow = False  # whether the message time was long when it was last reported
-        self.reported_at = 0.0  # when it was last reported
+        self.address: Address | None = None  # None: unknown
+        self.probe_delays: list[float] = []  # newest last
+        # Typical delay of a probe within the server's zone, last reported by a proxy there; 0: not reported.
+        self.reported_typical_delay = 0.0
+        self.longest_wait = 0.0  # age of the oldest unanswered line
+        self.reported_slow = False  # whether the message time in the last report was long
+        self.reported_at = 0.0  # time of the last report of the message time
 
     def set_address(self, address: Address) -> None:
-        """Sets where new connections go."""
+        """Sets the address for new connections."""
         self.address = address
 
     def record_probe_delay(self, delay: float) -> None:
-        """Remembers the delay of a probe, and forgets the oldest where there are too many."""
+        """Records the delay of a probe, and drops the oldest delays beyond the limit."""
         self.probe_delays[:] = [*self.probe_delays[1 - MAX_PROBE_DELAYS :], delay]
 
     def record_typical_delay(self, delay: float) -> None:
-        """Records the typical delay that this or another proxy has reported."""
+        """Records the typical delay that this proxy or a peer has reported."""
         self.reported_typical_delay = delay
 
     def record_longest_wait(self, longest_wait: float) -> None:
-        """Records for how long the oldest line has been without an answer; 0: none is."""
+        """Records the age of the oldest unanswered line; 0: no line is unanswered."""
         self.longest_wait = longest_wait
 
     def record_report(self, is_long: bool, now: float) -> None:
-        """Records that the message time was reported, and whether it was long."""
+        """Records a report of the message time, and whether the time was long."""
         self.reported_slow = is_long
         self.reported_at = now
 
 
 def upstream_endpoint_of(server: Server) -> UpstreamEndpoint:
-    """Returns the endpoint of a server, which is made when it is first asked for."""
+    """Returns the endpoint of a server, created on first use."""
     found: UpstreamEndpoint | None = server.handle
     if found is None:
         found = UpstreamEndpoint(server.id)
