--- a/brambleplank/frontends/line/upstream_connections.py
+++ b/brambleplank/frontends/line/upstream_connections.py
@@ -133,7 +133,7 @@
         """The server could not be reached, or this machine could not try."""
         self.proxy.admission.descriptors_changed(-1)
         if isinstance(reason.value, LocalConnectError):
-            self.proxy.local_faults.record(reason.value.call, reason.value.number)
+            self.proxy.local_faults.record(reason.value.call, reason.value.error_number)
             self.end(AttemptOutcome.LOCAL_FAULT)
         else:
             self.end(AttemptOutcome.UNREACHABLE)
--- a/brambleplank/net/clock.py
+++ b/brambleplank/net/clock.py
@@ -59,33 +59,33 @@
         """Adopts the offset of another process of this machine, so that times of both are comparable."""
         self.epoch_offset = epoch_offset
 
-    def call_later(self, delay: float, call: Callable[..., object], *arguments: Any) -> DelayedCall:
+    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> DelayedCall:
         """Schedules a call after a delay in seconds."""
-        delayed_call: DelayedCall = reactor.callLater(max(0.0, delay), call, *arguments)
+        delayed_call: DelayedCall = reactor.callLater(max(0.0, delay), callback, *args)
         return delayed_call
 
-    def call_after_reads(self, delay: float, call: Callable[..., object], *arguments: Any) -> CallAfterReads:
+    def call_after_reads(self, delay: float, callback: Callable[..., object], *args: Any) -> CallAfterReads:
         """Schedules a call after a delay in seconds, once data that has arrived by then has been read.
 
         After a stall of this process, timers run before I/O, and would take data that did arrive for missing.
         """
-        return CallAfterReads(self, delay, call, arguments)
+        return CallAfterReads(self, delay, callback, args)
 
 
 class CallAfterReads:
     """A scheduled call that runs one iteration of the event loop after its time; it can be cancelled."""
 
     def __init__(
-        self, clock: Clock, delay: float, call: Callable[..., object], arguments: tuple[Any, ...]
+        self, clock: Clock, delay: float, callback: Callable[..., object], args: tuple[Any, ...]
     ) -> None:
         self.clock = clock
-        self.call = call
-        self.arguments = arguments
+        self.callback = callback
+        self.args = args
         self.timer = clock.call_later(delay, self._call_after_next_read)
 
     def _call_after_next_read(self) -> None:
         """Defers the call by one iteration of the event loop, which reads first."""
-        self.timer = self.clock.call_later(0, self.call, *self.arguments)
+        self.timer = self.clock.call_later(0, self.callback, *self.args)
 
     def active(self) -> bool:
         """Returns whether the call is still pending."""
--- a/brambleplank/net/event_log.py
+++ b/brambleplank/net/event_log.py
@@ -57,11 +57,15 @@
         )
 
     def endpoints_changed(
-        self, now: float, endpoints: Iterable[Endpoint], known: Mapping[str, Server], slow_start_time: float
+        self,
+        now: float,
+        endpoints: Iterable[Endpoint],
+        known_servers: Mapping[str, Server],
+        slow_start_time: float,
     ) -> None:
         """Records the servers that an endpoint list adds, removes, drains or reports as restarted."""
         for endpoint in endpoints:
-            server = known.get(endpoint.id)
+            server = known_servers.get(endpoint.id)
             starts = endpoint.started > max(server.started if server else 0.0, now - slow_start_time)
             if server and server.status is endpoint.status and not starts:
                 continue
--- a/brambleplank/net/fleet_link.py
+++ b/brambleplank/net/fleet_link.py
@@ -195,13 +195,13 @@
                 steps[retirement.name] = (self.retirement_progress.positions[retirement.name].step, step)
         return steps
 
-    def run_in_thread(self, call: Callable[[], Any], done: Callable[[Any], None]) -> None:
+    def run_in_thread(self, function: Callable[[], Any], callback: Callable[[Any], None]) -> None:
         """Runs `call` in a thread, then passes the result to `done` in the reactor's thread.
 
         Parsing a table of thousands of rules takes about a second, which would block all requests.
         """
-        result: Any = threads.deferToThreadPool(reactor, reactor.getThreadPool(), call)
-        result.addCallback(done)
+        result: Any = threads.deferToThreadPool(reactor, reactor.getThreadPool(), function)
+        result.addCallback(callback)
         result.addErrback(
             lambda failure: self._log.write_line(f"fleet: {type(failure.value).__name__}: {failure.value}")
         )
--- a/brambleplank/net/health_probes.py
+++ b/brambleplank/net/health_probes.py
@@ -138,8 +138,12 @@
         typical = self.typical_delay(server)
         endpoint = upstream_endpoint_of(server)
         reported = endpoint.reported_typical_delay
-        has_few = len(endpoint.probe_delays) < MIN_SAMPLES_WITH_BASELINE
-        if has_few or not self.is_in_zone(server) or abs(typical - reported) <= SAME_ZONE_JITTER * reported:
+        has_too_few_samples = len(endpoint.probe_delays) < MIN_SAMPLES_WITH_BASELINE
+        if (
+            has_too_few_samples
+            or not self.is_in_zone(server)
+            or abs(typical - reported) <= SAME_ZONE_JITTER * reported
+        ):
             return 0.0
         endpoint.record_typical_delay(typical)
         return typical
@@ -176,4 +180,4 @@
 
     def known_delays(self, servers: list[Server]) -> list[float]:
         """Returns the known typical delays of servers within their zones, in ascending order."""
-        return sorted(known for server in servers if (known := self.delay_within_zone(server)))
+        return sorted(delay for server in servers if (delay := self.delay_within_zone(server)))
--- a/brambleplank/net/local_faults.py
+++ b/brambleplank/net/local_faults.py
@@ -47,10 +47,10 @@
 
     ADVICE = "check this machine's descriptors, ports, routes and firewall; servers are not at fault"
 
-    def __init__(self, call: str, number: int = 0) -> None:
-        super().__init__(f"{call}: {os.strerror(number)}")
+    def __init__(self, call: str, error_number: int = 0) -> None:
+        super().__init__(f"{call}: {os.strerror(error_number)}")
         self.call = call
-        self.number = number
+        self.error_number = error_number
 
 
 def retry_transient(create: Callable[[], Created], timeout: float) -> Created:
@@ -75,9 +75,9 @@
         self._write_line = write_line
         self.counts: Counter[tuple[str, str]] = Counter()
 
-    def record(self, call: str, number: int | None) -> None:
+    def record(self, call: str, error_number: int | None) -> None:
         """Records a failed system call with its errno."""
-        name = errno.errorcode.get(number or 0, str(number))
+        name = errno.errorcode.get(error_number or 0, str(error_number))
         self.counts[call, name] += 1
         count = self.counts[call, name]
         if is_logged_occurrence(count):
--- a/brambleplank/net/peer_link.py
+++ b/brambleplank/net/peer_link.py
@@ -31,7 +31,7 @@
         group_server_received: Callable[[int, Server], None],
         permit_message_received: Callable[[int, Server, int], None],
         broadcast_address: Address,
-        numbers: dict[Address, int],
+        peer_numbers: dict[Address, int],
         send_failed: Callable[[int | None], None] | None = None,
     ) -> None:
         """`send_failed` gets the errno of each failed send."""
@@ -46,25 +46,25 @@
             group_server_received,
             permit_message_received,
         )
-        self._readers: dict[int, Callable[[bytes, int], None]] = {}  # of other formats, by first byte
-        self.set_peers(broadcast_address, numbers)
+        self._handlers: dict[int, Callable[[bytes, int], None]] = {}  # of other formats, by first byte
+        self.set_peers(broadcast_address, peer_numbers)
 
-    def set_peers(self, broadcast_address: Address, numbers: dict[Address, int]) -> None:
+    def set_peers(self, broadcast_address: Address, peer_numbers: dict[Address, int]) -> None:
         """Sets the broadcast address and the peers' numbers by address; without peers, nothing is sent."""
         self.broadcast_address = broadcast_address
-        self.numbers = numbers
-        self.known = {number: address for address, number in numbers.items()}
+        self.peer_numbers = peer_numbers
+        self.peer_addresses = {number: address for address, number in peer_numbers.items()}
 
-    def add_datagram_handler(self, first_byte: int, read: Callable[[bytes, int], None]) -> None:
+    def add_datagram_handler(self, first_byte: int, handler: Callable[[bytes, int], None]) -> None:
         """Registers the handler of datagrams of another format; it gets the data and the sender's number."""
-        self._readers[first_byte] = read
+        self._handlers[first_byte] = handler
 
     def write(self, message: bytes, recipient: int | None) -> None:
         """Sends a datagram to the peer of a number, or to all peers (None)."""
-        if self.known and (recipient is None or recipient in self.known):
+        if self.peer_addresses and (recipient is None or recipient in self.peer_addresses):
             try:
                 self.transport.write(
-                    message, self.broadcast_address if recipient is None else self.known[recipient]
+                    message, self.broadcast_address if recipient is None else self.peer_addresses[recipient]
                 )
             except OSError as error:
                 # Treated like a datagram lost on the network, which peers tolerate; later ones are still
@@ -74,13 +74,13 @@
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
         """Handles datagrams from known peers only; other senders could report every server as overloaded."""
-        if addr not in self.numbers or not datagram:
+        if addr not in self.peer_numbers or not datagram:
             return
         try:
-            if datagram[0] in self._readers:
-                self._readers[datagram[0]](datagram, self.numbers[addr])
+            if datagram[0] in self._handlers:
+                self._handlers[datagram[0]](datagram, self.peer_numbers[addr])
             elif datagram[0] in TAG_WIDTHS_BY_FIRST_BYTE:
-                self.receive(datagram, self.numbers[addr])
+                self.receive(datagram, self.peer_numbers[addr])
             else:
                 self.read_text(datagram)
         except (ValueError, IndexError):
@@ -88,9 +88,9 @@
 
     def read_text(self, datagram: bytes) -> None:
         """Parses the text format: id, message time, optional delay. Raises ValueError or IndexError."""
-        server_id, *words = datagram.decode().split(" ")
-        seconds = float(words[0])
-        typical_delay = float(words[1]) if len(words) > 1 else 0.0
+        server_id, *fields = datagram.decode().split(" ")
+        seconds = float(fields[0])
+        typical_delay = float(fields[1]) if len(fields) > 1 else 0.0
         server = self.tags().by_id.get(server_id)
         if server and 0 <= seconds < MAX_MESSAGE_TIME and 0 <= typical_delay < MAX_MESSAGE_TIME:
             self.message_time_received(server, seconds, typical_delay)
--- a/brambleplank/net/proxy.py
+++ b/brambleplank/net/proxy.py
@@ -159,8 +159,8 @@
             now, self.clock.wall_time(), endpoints, whole, self.settings.slow_start_time
         )
         for server_id, started in self.start_times.earlier_starts.items():
-            if (known := self.balancer.servers.get(server_id)) and started < known.started:
-                known.started = started
+            if (server := self.balancer.servers.get(server_id)) and started < server.started:
+                server.started = started
         for server_id, address in addresses.items():
             upstream_endpoint_of(self.balancer.find_or_add_server(now, server_id)).set_address(address)
         self.apply_endpoints(self.rotation.apply(endpoints, whole), whole)
@@ -333,19 +333,19 @@
 
     # Exceptions and shutdown.
 
-    def call_or_abort(self, client: ClientConnection, call: Callable[..., None], *arguments: object) -> None:
+    def call_or_abort(self, client: ClientConnection, call: Callable[..., None], *args: object) -> None:
         """Calls; an exception is logged, and the client's request aborted so that it gets an answer."""
         try:
-            call(*arguments)
+            call(*args)
         except Exception as error:
             self.report_exception(error, error.__traceback__)
             client.abort("fault")
 
     def report_exception(self, error: BaseException, trace: TracebackType | None) -> None:
         """Logs an exception, which affected one connection, and where it was raised."""
-        where = traceback.extract_tb(trace)[-1] if trace else None
-        at = f"{where.filename.rsplit('/', 1)[-1]}:{where.lineno}" if where else "-"
-        self.log_writer.write_line(f"fault {type(error).__name__} at {at}: {error}")
+        frame = traceback.extract_tb(trace)[-1] if trace else None
+        location = f"{frame.filename.rsplit('/', 1)[-1]}:{frame.lineno}" if frame else "-"
+        self.log_writer.write_line(f"fault {type(error).__name__} at {location}: {error}")
 
     def stop(self) -> None:
         """Starts a graceful shutdown; the drained callback is called once no client is left."""
--- a/brambleplank/net/signals.py
+++ b/brambleplank/net/signals.py
@@ -19,7 +19,7 @@
         self.pending = False
         signal.signal(signal.SIGHUP, self.handle_signal)
 
-    def handle_signal(self, number: int, frame: FrameType | None) -> None:  # noqa: ARG002
+    def handle_signal(self, signal_number: int, frame: FrameType | None) -> None:  # noqa: ARG002
         """Records the signal."""
         self.pending = True
 
--- a/brambleplank/net/unix.py
+++ b/brambleplank/net/unix.py
@@ -82,8 +82,8 @@
 
 
 def create_unix_listener(
-    claim: SocketPathLock, factory: Any, backlog: int, mode: int, reactor: Any
+    path_lock: SocketPathLock, factory: Any, backlog: int, mode: int, reactor: Any
 ) -> UnixListener:
     """Returns a listener at a locked path; `mode` is the mode of the socket file."""
-    path: Any = claim.path  # Twisted's types require bytes, its code accepts both
+    path: Any = path_lock.path  # Twisted's types require bytes, its code accepts both
     return UnixListener(path, factory, backlog, mode, reactor)
--- a/brambleplank/net/upstream_endpoint.py
+++ b/brambleplank/net/upstream_endpoint.py
@@ -45,8 +45,8 @@
 
 def upstream_endpoint_of(server: Server) -> UpstreamEndpoint:
     """Returns the endpoint of a server, created on first use."""
-    found: UpstreamEndpoint | None = server.handle
-    if found is None:
-        found = UpstreamEndpoint(server.id)
-        server.handle = found
-    return found
+    endpoint: UpstreamEndpoint | None = server.handle
+    if endpoint is None:
+        endpoint = UpstreamEndpoint(server.id)
+        server.handle = endpoint
+    return endpoint
--- a/brambleplank/peer_messages.py
+++ b/brambleplank/peer_messages.py
@@ -153,21 +153,21 @@
         """Reports the servers of displaced affinity groups, by the groups' ring positions."""
         for position, server in group_servers.items():
             prefix = (position >> UNREPORTED_POSITION_BITS).to_bytes(RING_POSITION_BYTES, "big")
-            self.enqueue_entry(SectionKind.GROUP_SERVER, server, None, before_tag=prefix)
+            self.enqueue_entry(SectionKind.GROUP_SERVER, server, None, prefix=prefix)
 
     def send_permit_message(self, server: Server, recipient: int, message: int) -> None:
         """Requests, grants or denies a slow-start permit."""
         self.enqueue_entry(SectionKind.PERMIT, server, recipient, message)
 
     def enqueue_entry(
-        self, kind: SectionKind, server: Server, recipient: int | None, *values: int, before_tag: bytes = b""
+        self, kind: SectionKind, server: Server, recipient: int | None, *values: int, prefix: bytes = b""
     ) -> None:
         """Enqueues an entry about a server; without a unique tag for the server, does nothing."""
         tags = self.tags()
         width = tag_width(kind, tags.width)
         tag = tags.tag(server, width)
         if tag is not None:
-            data = before_tag + tag.to_bytes(width, "big") + b"".join(map(encode_varint, values))
+            data = prefix + tag.to_bytes(width, "big") + b"".join(map(encode_varint, values))
             self.enqueue(PendingEntry(recipient, tags.width, kind, data))
 
     def enqueue(self, entry: PendingEntry) -> None:
@@ -192,12 +192,12 @@
     def receive(self, message: bytes, sender: Any) -> None:
         """Reads a message whose first byte is in TAG_WIDTHS_BY_FIRST_BYTE. Raises MalformedMessageError."""
         own_width = TAG_WIDTHS_BY_FIRST_BYTE[message[0]]
-        at = 1
-        while at < len(message):
-            number, count = divmod(message[at], KIND_FACTOR)
+        offset = 1
+        while offset < len(message):
+            number, count = divmod(message[offset], KIND_FACTOR)
             kind = SectionKind(number)
             width = tag_width(kind, own_width)
-            entries, at = decode_section(message, at + 1, kind, count, width)
+            entries, offset = decode_section(message, offset + 1, kind, count, width)
             self.receive_section(sender, kind, entries, self.tags().servers_by_tag(width))
 
     def receive_section(
@@ -245,15 +245,15 @@
     return bytes(data)
 
 
-def decode_varint(message: bytes, at: int) -> tuple[int, int]:
+def decode_varint(message: bytes, offset: int) -> tuple[int, int]:
     """Decodes a varint. Returns the number and the index after it. Raises IndexError if it is truncated."""
     number = 0
     shift = 0
-    while (byte := message[at]) >= CONTINUATION_BIT:
+    while (byte := message[offset]) >= CONTINUATION_BIT:
         number |= (byte & (CONTINUATION_BIT - 1)) << shift
         shift += VARINT_BITS
-        at += 1
-    return min(MAX_VARINT, number | byte << shift), at + 1
+        offset += 1
+    return min(MAX_VARINT, number | byte << shift), offset + 1
 
 
 def pack_entries(entries: Iterable[PendingEntry], width: int, max_size: int) -> Iterator[bytes]:
@@ -277,29 +277,29 @@
 
 
 def decode_section(
-    message: bytes, at: int, kind: SectionKind, count: int, width: int
+    message: bytes, offset: int, kind: SectionKind, count: int, width: int
 ) -> tuple[list[ReceivedEntry], int]:
     """Decodes a section. Returns its entries and the index after them. Raises MalformedMessageError."""
     entries = []
     try:
         for _ in range(count):
-            entry, at = decode_entry(message, at, kind, width)
+            entry, offset = decode_entry(message, offset, kind, width)
             entries.append(entry)
     except IndexError:
-        at = len(message) + 1
-    if at > len(message):
+        offset = len(message) + 1
+    if offset > len(message):
         raise MalformedMessageError(f"section of kind {int(kind)} is truncated")
-    return entries, at
+    return entries, offset
 
 
-def decode_entry(message: bytes, at: int, kind: SectionKind, width: int) -> tuple[ReceivedEntry, int]:
+def decode_entry(message: bytes, offset: int, kind: SectionKind, width: int) -> tuple[ReceivedEntry, int]:
     """Decodes an entry. Returns it and the index after it. Raises IndexError if a number is truncated."""
-    tag_at = at + (RING_POSITION_BYTES if kind == SectionKind.GROUP_SERVER else 0)
-    position = int.from_bytes(message[at:tag_at], "big")
-    at = tag_at + width
-    tag = int.from_bytes(message[tag_at:at], "big")
+    tag_offset = offset + (RING_POSITION_BYTES if kind == SectionKind.GROUP_SERVER else 0)
+    position = int.from_bytes(message[offset:tag_offset], "big")
+    offset = tag_offset + width
+    tag = int.from_bytes(message[tag_offset:offset], "big")
     values = []
     for _ in range(VARINTS_PER_ENTRY[kind]):
-        number, at = decode_varint(message, at)
+        number, offset = decode_varint(message, offset)
         values.append(number)
-    return ReceivedEntry(position, tag, values), at
+    return ReceivedEntry(position, tag, values), offset
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -94,7 +94,7 @@
 
 def test_counts_of_all_servers_come_from_all_processes_and_go_out_as_sums_that_fit() -> None:
     sender, aggregator, third = (Process(number) for number in (1, 0, 2))
-    assert sorted(aggregator.peers.numbers.values()) == list(range(PROCESSES))
+    assert sorted(aggregator.peers.peer_numbers.values()) == list(range(PROCESSES))
     held = {server: 300 * number for number, server in enumerate(sender.servers.values())}
     sender.proxy.send_load_report(held.items(), True, None, False)
     datagrams = sender.datagrams()
