--- a/brambleplank/net/fleet_link.py
+++ b/brambleplank/net/fleet_link.py
@@ -138,7 +138,7 @@
                 self._host.migrate_client(client)
 
     def _mark_outliers(self, now: float) -> None:
-        """Marks servers as outliers that several members observed as failing."""
+        """Marks the servers that several members observed as failing as outliers."""
         servers = self.servers_by_tag()
         ejected = {servers[tag] for tag in self.fleet.server_observer.ejected_servers(now, list(servers))}
         for server in ejected:
@@ -196,7 +196,7 @@
         return steps
 
     def run_in_thread(self, function: Callable[[], Any], callback: Callable[[Any], None]) -> None:
-        """Runs `call` in a thread, then passes the result to `done` in the reactor's thread.
+        """Runs `function` in a thread, then passes the result to `callback` in the reactor's thread.
 
         Parsing a table of thousands of rules takes about a second, which would block all requests.
         """
@@ -280,7 +280,7 @@
 
 
 class FleetDatagramProtocol(DatagramProtocol):
-    """Sends and receives the fleet's datagrams on an address of its own, apart from the peers' one."""
+    """Sends and receives the fleet's datagrams on a separate address, not on that of the peers."""
 
     noisy = False
     transport: Any
@@ -303,7 +303,7 @@
         self._receive = receive
 
     def send(self, data: bytes, to: int | None) -> None:
-        """Sends a datagram to the member of a number, or to all others (None)."""
+        """Sends a datagram to one member, given by number, or to all others (None)."""
         for number in range(len(self.addresses)) if to is None else [to]:
             if number != self.own_number and self.transport is not None:
                 try:
--- a/brambleplank/net/peer_exchange.py
+++ b/brambleplank/net/peer_exchange.py
@@ -100,7 +100,7 @@
         recipient: int | None,
         is_aggregate: bool,
     ) -> None:
-        """Sends connections by server to the peer of a number, or to all peers (None)."""
+        """Sends connections by server to one peer, given by number, or to all peers (None)."""
         link = self._active_link()
         if link is None:
             return
--- a/brambleplank/net/peer_link.py
+++ b/brambleplank/net/peer_link.py
@@ -60,7 +60,7 @@
         self._handlers[first_byte] = handler
 
     def write(self, message: bytes, recipient: int | None) -> None:
-        """Sends a datagram to the peer of a number, or to all peers (None)."""
+        """Sends a datagram to one peer, given by number, or to all peers (None)."""
         if self.peer_addresses and (recipient is None or recipient in self.peer_addresses):
             try:
                 self.transport.write(
--- a/brambleplank/net/proxy.py
+++ b/brambleplank/net/proxy.py
@@ -300,7 +300,7 @@
         recipient: int | None,
         is_aggregate: bool,
     ) -> None:
-        """Sends connections by server to the proxy of a number, or to all others (None)."""
+        """Sends connections by server to one proxy, given by number, or to all others (None)."""
         self.peer_exchange.send_load_report(connections, complete, recipient, is_aggregate)
 
     def send_permit_message(self, server: Server, recipient: int, message: int) -> None:
@@ -334,7 +334,7 @@
     # Exceptions and shutdown.
 
     def call_or_abort(self, client: ClientConnection, call: Callable[..., None], *args: object) -> None:
-        """Calls; an exception is logged, and the client's request aborted so that it gets an answer."""
+        """Calls a function; on an exception, logs it and aborts the request, so that the client is answered."""
         try:
             call(*args)
         except Exception as error:
--- a/brambleplank/peer_messages.py
+++ b/brambleplank/peer_messages.py
@@ -98,10 +98,10 @@
 class PeerMessenger:
     """Encodes and batches the reports of this proxy, and decodes and dispatches those of others.
 
-    `send_message` sends a message to the proxy of a number, or to all others (None); `defer` schedules a call
-    for the end of the current event; `tags` returns the tags of the endpoint list. `load_report_received`
-    takes the sender, the connection counts by server, whether they are complete, and whether they are an
-    aggregate.
+    `send_message` sends a message to one proxy, given by number, or to all others (None); `defer` schedules a
+    call for the end of the current event; `tags` returns the tags of the endpoint list.
+    `load_report_received` takes the sender, the connection counts by server, whether they are complete, and
+    whether they are an aggregate.
     """
 
     def __init__(
