--- a/brambleplank/net/proxy.py
+++ b/brambleplank/net/proxy.py
@@ -334,7 +334,7 @@
     # Exceptions and shutdown.
 
     def call_or_abort(self, client: ClientConnection, call: Callable[..., None], *args: object) -> None:
-        """Calls a function; on an exception, logs it and aborts the request, so that the client is answered."""
+        """Calls a function; on an exception, logs it and aborts the request, so the client gets an answer."""
         try:
             call(*args)
         except Exception as error:
