--- a/brambleplank/net/fleet_link.py
+++ b/brambleplank/net/fleet_link.py
@@ -12,7 +12,7 @@
 from brambleplank.decisions.balancer import Balancer
 from brambleplank.fleet.errors import ForeignError
 from brambleplank.fleet.member import FleetMember
-from brambleplank.fleet.retirement.plan import Step
+from brambleplank.fleet.retirement.plan import RetirementStep
 from brambleplank.fleet.retirement.progress import RetirementProgress
 from brambleplank.fleet.routing.active_routes import ActiveRoutes, requests_counted
 from brambleplank.fleet.routing.admission import RequestAdmission
@@ -73,7 +73,7 @@
         """Joins the fleet.
 
         `send` takes a datagram and a member's number, or None for all members; `notices` is whether clients
-        may be sent retirement notices. Raises TableError, or OSError if the route file cannot be read.
+        may be sent retirement notices. Raises RouteTableError, or OSError if the route file cannot be read.
         """
         self._host = host
         self._clock = host.clock
@@ -111,7 +111,7 @@
         )
 
     def _load_routes(self, path: Path) -> None:
-        """Loads the initial route table from a file. Raises TableError or OSError."""
+        """Loads the initial route table from a file. Raises RouteTableError or OSError."""
         text = path.read_bytes()
         self.routing = ActiveRoutes(
             self.fleet, self.lint_context, self.run_in_thread, text, self._log.write_line
@@ -184,7 +184,7 @@
             retirement_steps=self._retirement_steps(),
         )
 
-    def _retirement_steps(self) -> dict[str, tuple[int, Step]]:
+    def _retirement_steps(self) -> dict[str, tuple[int, RetirementStep]]:
         """Returns the current step of each retirement, with its number, by the retirement's name."""
         if self.routing is None or self.retirement_progress is None:
             return {}
