--- a/tests/faults.py
+++ b/tests/faults.py
@@ -17,8 +17,8 @@
 from random import Random
 from typing import Any
 
-ACKNOWLEDGED_WITHIN = 15.0  # seconds for the process to read a new plan
-PIECE = 7  # bytes of a short read or write
+ACKNOWLEDGE_TIMEOUT = 15.0  # seconds for the process to read a new plan
+SHORT_IO_SIZE = 7  # bytes of a short read or write
 
 real_time = time.time
 real_socket = socket.socket
@@ -43,10 +43,10 @@
             number = getattr(errno, name)
             raise OSError(number, os.strerror(number))
 
-    def length(self, wanted: int) -> int:
+    def io_size(self, requested: int) -> int:
         """Returns how many bytes this read or write does."""
         is_short = self.short_share and self.rng.random() < self.short_share
-        return min(wanted, PIECE) if is_short else wanted
+        return min(requested, SHORT_IO_SIZE) if is_short else requested
 
 
 plan = FaultPlan({})
@@ -70,8 +70,8 @@
         try:
             if plan.port in (0, address[1]):
                 plan.check("connect")
-        except OSError as failed:
-            return failed.errno or 0
+        except OSError as error:
+            return error.errno or 0
         return super().connect_ex(address)
 
     def sendto(self, *arguments: Any) -> int:
@@ -82,7 +82,7 @@
     def send(self, data: Any, *flags: Any) -> int:
         """Sends the beginning of the data, or all."""
         plan.check("send")
-        return super().send(memoryview(data)[: plan.length(len(data))], *flags)
+        return super().send(memoryview(data)[: plan.io_size(len(data))], *flags)
 
     def recv(self, size: int, *flags: Any) -> bytes:
         """Reads; with flags (a look ahead) it never fails."""
@@ -93,7 +93,7 @@
     def recv_into(self, buffer: Any, size: int = 0, flags: int = 0) -> int:
         """Reads into a buffer."""
         plan.check("recv")
-        return super().recv_into(buffer, plan.length(size or len(buffer)), flags)
+        return super().recv_into(buffer, plan.io_size(size or len(buffer)), flags)
 
 
 def read_plan(path: str) -> None:
@@ -155,7 +155,7 @@
         process.send_signal(signal.SIGUSR1)
         acknowledged = Path(f"{self.path}.{process.pid}")
         pause = threading.Event()
-        end = time.monotonic() + ACKNOWLEDGED_WITHIN
+        deadline = time.monotonic() + ACKNOWLEDGE_TIMEOUT
         while not (acknowledged.exists() and acknowledged.read_text() == str(self.number)):
-            assert time.monotonic() < end and process.poll() is None, "the process has not read its plan"
+            assert time.monotonic() < deadline and process.poll() is None, "the process has not read its plan"
             pause.wait(0.005)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -46,21 +46,21 @@
     return int(answer.split(" ")[1])
 
 
-def test_a_server_that_is_out_gets_nothing_new_whatever_lists_say_until_one_call_back(
+def test_server_out_of_rotation_gets_no_requests_until_enabled(
     start_program: StartProgram,
 ) -> None:
-    one, other = StandInServer("UP one"), StandInServer("UP other")
-    program = start_operable_program(start_program, one, other)
+    first_server, other_server = StandInServer("UP one"), StandInServer("UP other")
+    program = start_operable_program(start_program, first_server, other_server)
     _, watch = program.discovery.accept_watch()
-    standing = [program.open_request(f"{key:x}") for key in range(16)]
-    assert {client.read_line() for client in standing} == {"UP one", "UP other"}
+    running_program = [program.open_request(f"{key:x}") for key in range(16)]
+    assert {client.read_line() for client in running_program} == {"UP one", "UP other"}
     assert (
         send_command(program, "/-/servers/s0/disable")
         == send_command(program, "/-/servers/s%30/disable")
         == 200
     )
-    both = {"s0": one.address, "s1": other.address}
-    for seq, listed in enumerate(({"s0": one.address}, {"s1": other.address}, both), 42):
+    both = {"s0": first_server.address, "s1": other_server.address}
+    for seq, listed in enumerate(({"s0": first_server.address}, {"s1": other_server.address}, both), 42):
         StandInDiscovery.send_text(watch, json.dumps(endpoint_list(seq, seq != 42, **listed)))
         assert {program.open_request(f"{key:x}").read_line() for key in range(16)} == {"UP other"}
     assert (
@@ -69,20 +69,20 @@
     assert send_command(program, "/-/servers/s0/enable") == 200
     while program.open_request("ab").read_line() != "UP one":
         pass
-    assert program.stop().count("end moved") >= one.opening_count - 1
+    assert program.stop().count("end moved") >= first_server.opening_count - 1
 
 
-def test_a_drain_says_no_serves_who_still_comes_moves_all_and_ends_at_the_call(
+def test_drain_answers_no_migrates_sessions_and_ends_on_resume(
     start_program: StartProgram,
 ) -> None:
     server = StandInServer()
     program = start_operable_program(start_program, server)
-    front, client = program.connect("PING"), program.open_request()
-    assert (front.read_line(), client.read_line()) == ("PONG", "UP r1")
+    health_check, client = program.connect("PING"), program.open_request()
+    assert (health_check.read_line(), client.read_line()) == ("PONG", "UP r1")
     assert [send_command(program, f"/-/{word}") for word in ("resume", "drain", "drain")] == [200] * 3
-    front.send_line("PING")
+    health_check.send_line("PING")
     late = program.open_request()
-    assert (front.read_line(), late.read_line()) == ("NO", "UP r1")
+    assert (health_check.read_line(), late.read_line()) == ("NO", "UP r1")
     assert (client.read_line(), client.read_line(), late.read_line(), late.read_line()) == (
         "MOVE",
         "",
@@ -90,16 +90,16 @@
         "",
     )
     assert send_command(program, "/-/ready", "GET") == send_command(program, "/-/resume") == 200
-    front.send_line("PING")
-    stays = program.open_request()
-    assert (front.read_line(), stays.read_line()) == ("PONG", "UP r1")
+    health_check.send_line("PING")
+    late_client = program.open_request()
+    assert (health_check.read_line(), late_client.read_line()) == ("PONG", "UP r1")
     there = [server.next_opening()[1] for _ in range(3)][-1]
-    stays.send_line("M 1")
+    late_client.send_line("M 1")
     assert there.read_line() == "M 1"
 
 
 @pytest.mark.parametrize(
-    ("said", "status"),
+    ("sent", "status"),
     [
         (b"GET /-/ready HTTP/1.1\r\n\r\n", 200),
         (b"GET /-/ready HTTP/1.0\r\n\r\n", 200),
@@ -120,51 +120,51 @@
     ],
     ids=range(16),
 )
-def test_a_call_is_answered_once_whatever_is_said_and_however_it_is_cut(
-    start_program: StartProgram, said: bytes, status: int
+def test_operator_request_is_answered_once_however_it_is_split(
+    start_program: StartProgram, sent: bytes, status: int
 ) -> None:
     program = start_operable_program(start_program, StandInServer())
-    whole, cut = operator_connection(program), operator_connection(program)
-    whole.socket.sendall(said)
-    assert int(whole.file.read().split(b" ")[1]) == status
-    for byte in said[:60]:
-        cut.socket.sendall(bytes([byte]))
-    cut.socket.sendall(said[60:])
-    answer = cut.file.read()
+    unsplit, split = operator_connection(program), operator_connection(program)
+    unsplit.socket.sendall(sent)
+    assert int(unsplit.file.read().split(b" ")[1]) == status
+    for byte in sent[:60]:
+        split.socket.sendall(bytes([byte]))
+    split.socket.sendall(sent[60:])
+    answer = split.file.read()
     assert int(answer.split(b" ")[1]) == status and answer.count(b"HTTP/1.") == 1
     assert program.open_request().read_line() == "UP r1" and "fault" not in program.stop()
 
 
-def test_a_call_is_answered_in_time_while_hundreds_of_clients_say_what_they_can(
+def test_operator_request_is_answered_in_time_under_client_load(
     start_program: StartProgram,
 ) -> None:
     program = start_operable_program(start_program, StandInServer(), limits={"cores": 1.0, "sockets": 400})
     assert send_command(program, "/-/ready", "GET") == 200
-    silent, ends = [operator_connection(program) for _ in range(4)], threading.Event()
+    silent, stop_event = [operator_connection(program) for _ in range(4)], threading.Event()
 
-    def shout() -> None:
-        while not ends.is_set():
+    def send_garbage() -> None:
+        while not stop_event.is_set():
             with suppress(OSError), socket.create_connection(program.address) as client:
                 client.settimeout(0.2)
                 client.sendall(b"x" * 20_000)
                 client.recv(100)
 
-    crowd = [threading.Thread(target=shout) for _ in range(40)]
-    held = [socket.create_connection(program.address) for _ in range(300)]
-    for each in crowd:
+    threads = [threading.Thread(target=send_garbage) for _ in range(40)]
+    idle_clients = [socket.create_connection(program.address) for _ in range(300)]
+    for each in threads:
         each.start()
     try:
         for word in ("drain", "resume") * 5:
-            began = time.monotonic()
-            assert send_command(program, f"/-/{word}") == 200 and time.monotonic() < began + 1.0
+            started_at = time.monotonic()
+            assert send_command(program, f"/-/{word}") == 200 and time.monotonic() < started_at + 1.0
     finally:
-        ends.set()
-        for thread in crowd:
+        stop_event.set()
+        for thread in threads:
             thread.join()
-    assert [line.socket.send(b"GET") for line in silent] == [3] * 4 and held
+    assert [line.socket.send(b"GET") for line in silent] == [3] * 4 and idle_clients
 
 
-def test_a_stop_amid_a_drain_ends_it_and_a_resume_amid_moving_keeps_who_is_left(
+def test_resume_stops_migrations_and_shutdown_ends_a_drain(
     start_program: StartProgram,
 ) -> None:
     program = start_operable_program(start_program, StandInServer())
@@ -175,15 +175,15 @@
     assert send_command(program, "/-/resume") == 200
     time.sleep(2.0)  # as long as a drain may take
     assert send_command(program, "/-/drain") == send_command(program, "/-/drain") == 200
-    said = program.stop()
-    assert program.process.returncode == 0 and "operator: drain (it was)" in said
-    before, _, after = said.partition("operator: resume")
-    assert 0 < before.count("end moved") < 24 == said.count("end moved")
+    output = program.stop()
+    assert program.process.returncode == 0 and "operator: drain (it was)" in output
+    before, _, after = output.partition("operator: resume")
+    assert 0 < before.count("end moved") < 24 == output.count("end moved")
     assert "end moved" not in after.partition("operator: drain")[0]
     assert {client.read_line() for client in clients} == {"MOVE"}
 
 
-def test_with_every_server_out_flows_are_answered_at_once_and_the_proxy_stays_ready(
+def test_requests_are_rejected_at_once_when_all_servers_are_out_of_rotation(
     start_program: StartProgram,
 ) -> None:
     program = start_operable_program(start_program, StandInServer(), StandInServer())
@@ -192,12 +192,12 @@
         == send_command(program, "/-/servers/s1/disable")
         == 200
     )
-    began = time.monotonic()
-    assert program.open_request().read_line().startswith("BUSY") and time.monotonic() < began + 0.5
+    started_at = time.monotonic()
+    assert program.open_request().read_line().startswith("BUSY") and time.monotonic() < started_at + 0.5
     assert send_command(program, "/-/ready", "GET") == 200
 
 
-def test_callers_that_say_nothing_do_not_keep_others_from_being_answered(start_program: StartProgram) -> None:
+def test_silent_operator_connections_do_not_block_others(start_program: StartProgram) -> None:
     program = start_operable_program(start_program, StandInServer())
     silent = [operator_connection(program) for _ in range(40)]
     silent[-1].socket.sendall(b"PUT /-/dra")
@@ -205,39 +205,41 @@
     assert silent[0].read_line().startswith("HTTP/1.1 503")
 
 
-def settings(most: Any = 3, **kinds: Any) -> dict[str, Any]:
+def settings_with(max_connects: Any = 3, **service_types: Any) -> dict[str, Any]:
     """Settings with these service types: each its effect, or changes to what all have."""
-    usual = {"effect": "repeatable", "setup_target_us": 300000, "deadline_us": 1800000}
-    listed = [{"name": name, **usual, **what} for name, what in kinds.items()]
-    limits = {**PLATFORM_SETTINGS["policy_limits"], "max_connects": most}
+    defaults = {"effect": "repeatable", "setup_target_us": 300000, "deadline_us": 1800000}
+    listed = [{"name": name, **defaults, **what} for name, what in service_types.items()]
+    limits = {**PLATFORM_SETTINGS["policy_limits"], "max_connects": max_connects}
     return {**PLATFORM_SETTINGS, "policy_limits": limits, "service_types": listed}
 
 
-def test_new_settings_bind_who_comes_and_a_flow_ends_by_those_it_came_with(
+def test_reloaded_settings_apply_to_new_requests_only(
     start_program: StartProgram,
 ) -> None:
-    one, other = StandInServer(None), StandInServer(None)
-    program = start_operable_program(start_program, one, other, settings=settings(feed={}, old={}))
-    waits = program.open_request(traffic_class="old", deadline_ms=1800)
-    assert waits.socket.getpeername() and program.connect("PING").read_line() == "PONG"
-    said = program.reload(settings=settings(1, feed={"effect": "once"}, new={}))
-    assert "settings.policy_limits.max_connects, settings.service_types (+new -old ~feed)" in said
+    first_server, other_server = StandInServer(None), StandInServer(None)
+    program = start_operable_program(
+        start_program, first_server, other_server, settings=settings_with(feed={}, old={})
+    )
+    waiting_client = program.open_request(traffic_class="old", deadline_ms=1800)
+    assert waiting_client.socket.getpeername() and program.connect("PING").read_line() == "PONG"
+    output = program.reload(settings=settings_with(1, feed={"effect": "once"}, new={}))
+    assert "settings.policy_limits.max_connects, settings.service_types (+new -old ~feed)" in output
     assert program.open_request(traffic_class="old").read_line() == "ERR"
-    one.answer = other.answer = "ERR"
+    first_server.answer = other_server.answer = "ERR"
     assert (
         program.open_request(traffic_class="new").read_line().startswith("BUSY")
         and program.open_request().read_line() == "FAIL"
     )
-    assert waits.read_line().startswith("BUSY")
-    kinds = [
+    assert waiting_client.read_line().startswith("BUSY")
+    service_types = [
         server.next_opening()[0].split("c=")[1][:4]
-        for server in (one, other)
+        for server in (first_server, other_server)
         for _ in range(server.opening_count)
     ]
-    assert sorted(kinds) == ["feed", "new,", "old,", "old,", "old,"]
+    assert sorted(service_types) == ["feed", "new,", "old,", "old,", "old,"]
 
 
-BROKEN = [
+INVALID_CONFIGURATIONS = [
     ("\n", "is not JSON"),
     ("{}", "name: missing"),
     ('{"name": "n1", "lis', "is not JSON"),
@@ -246,24 +248,27 @@
     ({"limits": {"cores": 1.0}}, "limits.sockets: missing"),
     ({"seed": "many"}, "seed"),
     *(
-        ({"settings": settings(feed={"deadline_us": wrong})}, "service_types[0].deadline_us")
-        for wrong in ("1800000", True, float("nan"), float("inf"), 0, -5, None, [1])
+        ({"settings": settings_with(feed={"deadline_us": change})}, "service_types[0].deadline_us")
+        for change in ("1800000", True, float("nan"), float("inf"), 0, -5, None, [1])
     ),
     *(
-        ({"settings": settings(wrong, feed={})}, "max_connects")
-        for wrong in ("3", True, float("nan"), float("inf"), 0, -1, 2.5, None)
+        ({"settings": settings_with(change, feed={})}, "max_connects")
+        for change in ("3", True, float("nan"), float("inf"), 0, -1, 2.5, None)
+    ),
+    ({"settings": settings_with()}, "service_types: need one at least"),
+    ({"settings": settings_with(feed={"effect": "twice"})}, "service_types[0].effect"),
+    (
+        {"settings": settings_with(feed={}, other={"name": "feed"})},
+        "service_types[1].name: 'feed' is there twice",
     ),
-    ({"settings": settings()}, "service_types: need one at least"),
-    ({"settings": settings(feed={"effect": "twice"})}, "service_types[0].effect"),
-    ({"settings": settings(feed={}, other={"name": "feed"})}, "service_types[1].name: 'feed' is there twice"),
     (
         {"settings": {**PLATFORM_SETTINGS, "policy_limits": {"max_connects": 3}}},
         "policy_limits.may_probe: missing",
     ),
     ({"settings": {**PLATFORM_SETTINGS, "rules": []}}, "settings.rules: need an object"),
     *(
-        ({"settings": {**PLATFORM_SETTINGS, **wrong}}, named)
-        for wrong, named in (
+        ({"settings": {**PLATFORM_SETTINGS, **change}}, expected)
+        for change, expected in (
             ({"specifics": {"mode": "through"}}, "settings.specifics.mode: need one of proxy, pass"),
             ({"beside": 3}, "settings.beside: need an object"),
             ({"beside": {"balancers": -1}}, "settings.beside.balancers: need 0 at least"),
@@ -276,7 +281,7 @@
 
 
 @pytest.fixture(scope="module")
-def standing(tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[Program, dict[str, Any]]]:
+def running_program(tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[Program, dict[str, Any]]]:
     """One program for all broken files, and its sound one: none of them may change anything for the next."""
     for run in program_factory(tmp_path_factory.mktemp("broken"), Program):
         program = start_operable_program(run, StandInServer())
@@ -284,38 +289,44 @@
         yield program, dict(program.config)
 
 
-@pytest.mark.parametrize(("wrong", "named"), BROKEN, ids=[f"{n}" for n in range(len(BROKEN))])
-def test_nothing_is_taken_of_a_broken_file(
-    standing: tuple[Program, dict[str, Any]], wrong: str | dict[str, Any], named: str
+@pytest.mark.parametrize(
+    ("change", "expected"), INVALID_CONFIGURATIONS, ids=[f"{n}" for n in range(len(INVALID_CONFIGURATIONS))]
+)
+def test_invalid_configuration_changes_nothing(
+    running_program: tuple[Program, dict[str, Any]], change: str | dict[str, Any], expected: str
 ) -> None:
-    program, sound = standing
-    program.config = {**sound, "discovery": "127.0.0.1:9", **(wrong if isinstance(wrong, dict) else {})}
-    said = program.reload(wrong if isinstance(wrong, str) else json.dumps(program.config))
-    assert "reload: kept as it was: " in said and named in said
+    program, valid_config = running_program
+    program.config = {
+        **valid_config,
+        "discovery": "127.0.0.1:9",
+        **(change if isinstance(change, dict) else {}),
+    }
+    output = program.reload(change if isinstance(change, str) else json.dumps(program.config))
+    assert "reload: kept as it was: " in output and expected in output
     assert (
         program.open_request().read_line() == "UP r1"
         and program.open_request(traffic_class="order").read_line() == "UP r1"
     )
 
 
-def test_two_calls_to_read_again_in_one_instant_end_at_what_the_file_says(
+def test_simultaneous_reloads_apply_the_latest_file(
     start_program: StartProgram,
 ) -> None:
     program = start_operable_program(start_program, StandInServer())
     assert program.open_request().read_line() == "UP r1"
     for name in ("new", "newer"):
-        program.config["settings"] = settings(**{"feed": {}, name: {}})
+        program.config["settings"] = settings_with(**{"feed": {}, name: {}})
         program.config_path.write_text(json.dumps(program.config))
         program.process.send_signal(signal.SIGHUP)
     while program.open_request(traffic_class="newer").read_line() != "UP r1":
         pass
     assert program.open_request(traffic_class="new").read_line() == "ERR"
-    said = program.reload(settings={**program.config["settings"], "balancers": 7})
-    while "wait for a restart: settings.balancers" not in said:
-        said = program.next_log_line("reload: ")
+    output = program.reload(settings={**program.config["settings"], "balancers": 7})
+    while "wait for a restart: settings.balancers" not in output:
+        output = program.next_log_line("reload: ")
 
 
-class Probed(StandInServer):
+class ProbedServer(StandInServer):
     """Keeps the connections of probes, each with its first line."""
 
     def serve(self, line: LineConnection) -> None:
@@ -326,39 +337,43 @@
         self.openings.put(("end", line))
 
 
-def test_the_permission_to_probe_is_given_and_taken_by_reload(start_program: StartProgram) -> None:
-    server = Probed()
-    near = {**PLATFORM_SETTINGS, "az": "a"}
-    allowed = {**near, "policy_limits": {**PLATFORM_SETTINGS["policy_limits"], "may_probe": True}}
-    program = start_operable_program(start_program, server, settings=near)
+def test_reload_enables_and_disables_probes(start_program: StartProgram) -> None:
+    server = ProbedServer()
+    base_settings = {**PLATFORM_SETTINGS, "az": "a"}
+    allowed = {**base_settings, "policy_limits": {**PLATFORM_SETTINGS["policy_limits"], "may_probe": True}}
+    program = start_operable_program(start_program, server, settings=base_settings)
     assert program.connect("PING").read_line() == "PONG"
     assert "taken up: settings.policy_limits.may_probe" in program.reload(settings=allowed)
     assert server.next_opening()[0] == "PING"
-    assert "taken up: settings.policy_limits.may_probe" in program.reload(settings=near)
+    assert "taken up: settings.policy_limits.may_probe" in program.reload(settings=base_settings)
     assert server.next_opening()[0] == "end"  # the probe under way is closed
 
 
-def test_counts_and_reasons_of_what_was_done_can_be_read(start_program: StartProgram) -> None:
-    one, other = StandInServer("ERR"), StandInServer("UP other")
-    program = start_operable_program(start_program, one, other)
+def test_metrics_and_log_report_counts_and_reasons(start_program: StartProgram) -> None:
+    first_server, other_server = StandInServer("ERR"), StandInServer("UP other")
+    program = start_operable_program(start_program, first_server, other_server)
     _, watch = program.discovery.accept_watch()
-    heard = [program.open_request(f"{key:x}", traffic_class="order").read_line() for key in range(12)]
-    assert set(heard) == {"FAIL", "UP other"}
+    replies = [program.open_request(f"{key:x}", traffic_class="order").read_line() for key in range(12)]
+    assert set(replies) == {"FAIL", "UP other"}
     StandInDiscovery.send_text(
         watch,
-        json.dumps(endpoint_list(42, True, s0=(one.address, "draining"), s1=(other.address, "draining"))),
+        json.dumps(
+            endpoint_list(
+                42, True, s0=(first_server.address, "draining"), s1=(other_server.address, "draining")
+            )
+        ),
     )
     while "BUSY" not in program.open_request("7").read_line():
         pass
     line = operator_connection(program)
     line.send_line("GET /-/metrics HTTP/1.1\r\nHost: here\r\n")
     text = line.file.read().decode()
-    failed = heard.count("FAIL")
+    failed = replies.count("FAIL")
     assert f'brambleplank_requests_ended_total{{what="aborted"}} {failed}\n' in text
     assert f'brambleplank_attempts_ended_total{{what="error"}} {failed}\n' in text
     refused = failed + 1  # the last one was rejected
     assert f'brambleplank_requests_refused_total{{what="no-server"}} {refused}\n' in text
     assert 'brambleplank_servers_changed_total{what="draining"} 2\n' in text
-    said = program.stop()
-    assert "server=s0 result=error delay=0." in said and "server: s0 draining" in said
-    assert "why=no-server" in said and "violation of" not in said
+    output = program.stop()
+    assert "server=s0 result=error delay=0." in output and "server: s0 draining" in output
+    assert "why=no-server" in output and "violation of" not in output
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,14 +16,16 @@
 TAGS = ServerTags(SERVERS)
 
 
-def ears() -> tuple[PeerLink, dict[str, list[Any]], list[bytes]]:
+def make_peer_link() -> tuple[PeerLink, dict[str, list[Any]], list[bytes]]:
     """A proxy, what it is told by kinds, and the datagrams it sends."""
-    said: dict[str, list[Any]] = {"time": [], "held": [], "home": [], "turn": []}
-    time, held, home, turn = ((lambda *what, kind=kind: said[kind].append(what)) for kind in said)
-    peers = PeerLink(lambda send: None, lambda: TAGS, time, held, home, turn, HERE, {HERE: 0})
+    received: dict[str, list[Any]] = {"time": [], "held": [], "home": [], "turn": []}
+    time, connections, home, turn = (
+        (lambda *what, kind=kind: received[kind].append(what)) for kind in received
+    )
+    peers = PeerLink(lambda send: None, lambda: TAGS, time, connections, home, turn, HERE, {HERE: 0})
     sent = list[bytes]()
     peers.transport = SimpleNamespace(write=lambda datagram, where: sent.append(datagram))
-    return peers, said, sent
+    return peers, received, sent
 
 
 @given(
@@ -32,38 +34,52 @@
     st.sampled_from(SERVERS),
     st.floats(0, 0.6),
 )
-def test_messages_round_trip(held: dict[Server, int], whole: bool, server: Server, seconds: float) -> None:
-    peers, said, sent = ears()
-    peers.send_load_report(held, whole, None, False)
+def test_messages_round_trip(
+    connections: dict[Server, int], complete: bool, server: Server, seconds: float
+) -> None:
+    peers, received, sent = make_peer_link()
+    peers.send_load_report(connections, complete, None, False)
     peers.report_message_time(server, seconds, seconds)
     peers.report_group_servers({server.points[0]: server})
     peers.send_permit_message(server, 0, 2)
     peers.send()
     for datagram in sent:
         peers.datagramReceived(datagram, HERE)
-    assert held == {server: count for _, part, *_ in said["held"] for server, count in part.items()}
-    assert [first for *_, first, _ in said["held"]] == [whole, *[False] * 300][: len(said["held"])]
-    assert said["time"] == [(server, round(seconds * 1000) / 1000, round(seconds * 100_000) / 100_000)]
-    assert said["home"] == [(server.points[0] >> 96 << 96, server)] and said["turn"] == [(0, server, 2)]
-    size = sum(3 + len(encode_varint(count)) for count in held.values())
-    assert max(map(len, sent)) <= MAX_DATAGRAM_SIZE and len(sent) <= 2 + size // (MAX_DATAGRAM_SIZE - 16)
+    assert connections == {
+        server: count for _, part, *_ in received["held"] for server, count in part.items()
+    }
+    assert [first for *_, first, _ in received["held"]] == [complete, *[False] * 300][: len(received["held"])]
+    assert received["time"] == [(server, round(seconds * 1000) / 1000, round(seconds * 100_000) / 100_000)]
+    assert received["home"] == [(server.points[0] >> 96 << 96, server)] and received["turn"] == [
+        (0, server, 2)
+    ]
+    data_size = sum(3 + len(encode_varint(count)) for count in connections.values())
+    assert max(map(len, sent)) <= MAX_DATAGRAM_SIZE and len(sent) <= 2 + data_size // (MAX_DATAGRAM_SIZE - 16)
 
 
 @given(st.binary(max_size=300))
 def test_unknown_senders_and_malformed_datagrams_are_ignored(datagram: bytes) -> None:
-    peers, said, _ = ears()
+    peers, received, _ = make_peer_link()
     peers.datagramReceived(b"s1 0.2", ("10.9.9.9", 7946))
-    for torn in (datagram, b"\x04" + datagram, b"s0", b"s0 nan", b"s0 -1", b"\x04\x22\x00", b"\x04\x42\x00"):
-        peers.datagramReceived(torn, HERE)
-    assert not [told for told in said["time"] if told[0] is SERVERS[1] and told[1] == 0.2]
-    assert all(0 <= told[1] < 3600 and 0 <= told[2] < 3600 for told in said["time"])
+    for malformed in (
+        datagram,
+        b"\x04" + datagram,
+        b"s0",
+        b"s0 nan",
+        b"s0 -1",
+        b"\x04\x22\x00",
+        b"\x04\x42\x00",
+    ):
+        peers.datagramReceived(malformed, HERE)
+    assert not [report for report in received["time"] if report[0] is SERVERS[1] and report[1] == 0.2]
+    assert all(0 <= report[1] < 3600 and 0 <= report[2] < 3600 for report in received["time"])
     peers.datagramReceived(b"s0 0.200 0.00400", HERE)  # a proxy of before is still heard
-    assert said["time"][-1] == (SERVERS[0], 0.2, 0.004)
+    assert received["time"][-1] == (SERVERS[0], 0.2, 0.004)
 
 
 def test_obsolete_format_is_ignored() -> None:
-    peers, said, _ = ears()
+    peers, received, _ = make_peer_link()
     for kind in range(8):
         tags = b"".join((server.points[0] & 0xFFFF).to_bytes(2, "big") + b"\x07" for server in SERVERS[:31])
         peers.datagramReceived(bytes([1, kind * 32 + 31]) + tags, HERE)
-    assert said == {"time": [], "held": [], "home": [], "turn": []}
+    assert received == {"time": [], "held": [], "home": [], "turn": []}
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 from tests.overrides import overrides
 from tests.programs import Program
 from tests.stand_ins import LineConnection, StandInServer
-from tests.test_operating import send_command, settings, start_operable_program
+from tests.test_operating import send_command, settings_with, start_operable_program
 from tests.waiting import TEST_TIMEOUT
 
 StartProgram = Callable[..., Program]
@@ -30,7 +30,9 @@
 
 
 def first(start_program: StartProgram, *servers: StandInServer, **changes: Any) -> Program:
-    return start_operable_program(start_program, *servers, **{"settings": settings(feed=PATIENT), **changes})
+    return start_operable_program(
+        start_program, *servers, **{"settings": settings_with(feed=PATIENT), **changes}
+    )
 
 
 def ready(program: Program) -> Program:
@@ -314,7 +316,7 @@
     start_program: StartProgram,
 ) -> None:
     server = StandInServer()
-    both = settings(feed=PATIENT, old=PATIENT)
+    both = settings_with(feed=PATIENT, old=PATIENT)
     # Counted twice on their way, the descriptors would look crowded, and who has not said all be shown out.
     few = {"cores": 1.0, "memory_mb": 256, "sockets": 232}
     program = ready(first(start_program, server, settings=both, limits=few, patch=PATIENT_TOO))
@@ -340,7 +342,7 @@
         "1a7e", deadline_ms=30_000
     )  # its answer is out when the first is told to leave
     late_there = server.next_opening()[1]
-    lacking = settings(feed=PATIENT)  # a service type that stands
+    lacking = settings_with(feed=PATIENT)  # a service type that stands
     new = ready(program.upgrade(settings=lacking, patch=PATIENT_TOO))
     program.process.send_signal(signal.SIGTERM)
     program.next_log_line("shutdown: requested")
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -11,11 +11,11 @@
 POLL_INTERVAL = 0.02  # seconds
 
 
-def wait_until(condition: Callable[[], Any], seconds: float = TEST_TIMEOUT) -> Any:
+def wait_until(condition: Callable[[], Any], timeout: float = TEST_TIMEOUT) -> Any:
     """Returns the first true value of the condition; fails the test if there is none in time."""
     pause = threading.Event()
-    end = time.monotonic() + seconds
+    deadline = time.monotonic() + timeout
     while not (value := condition()):
-        assert time.monotonic() < end, f"never true: {getattr(condition, '__qualname__', condition)}"
+        assert time.monotonic() < deadline, f"never true: {getattr(condition, '__qualname__', condition)}"
         pause.wait(POLL_INTERVAL)
     return value
