--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -1,4 +1,4 @@
-"""`limits.sockets` beside a process limit (RLIMIT_NOFILE) that is smaller."""
+"""`limits.sockets` with a smaller process limit (RLIMIT_NOFILE)."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def start_limited_program(start_program: StartProgram, soft: int, hard: int, sockets: int) -> Program:
-    """A program that serves, under such limits."""
+    """Starts a program under these process limits, and waits until it serves."""
     patch = SET_LIMITS.format(soft=soft, hard=hard)
     program = start_program(
         endpoint_list(41, True, s0=StandInServer().address), patch=patch, limits=limits_with_sockets(sockets)
--- a/tests/test_health_probes.py
+++ b/tests/test_health_probes.py
@@ -1,4 +1,4 @@
-"""What the delays of probes, and other proxies, say of a server's message times."""
+"""Message times of servers, derived from the delays of probes and from reports of other proxies."""
 
 from __future__ import annotations
 
@@ -61,34 +61,31 @@
     for delay in (0.0040, 0.0042, 0.0041, 0.0040, 0.0043, 0.0006, 0.0041, 0.0042, 0.0040):
         probes.probe_answered(probe, delay)
     assert reported[:2] == [0.0, 0.0] and len(reported) == 9 and max(reported) < 0.033 and not sent_probes
-    probes.probe_answered(probe, 0.0130)  # one late packet is measured again before anything is reported
+    probes.probe_answered(probe, 0.0130)  # one late packet is confirmed by a further probe first
     assert len(reported) == 9 and len(sent_probes) == 1
     probes.probe_answered(probe, 0.0041)
     assert reported[-1] < 0.033
     probes.probe_answered(probe, 0.0130)
     probes.probe_answered(probe, 0.0110)
     assert reported[-1] > 0.1
-    endpoint.probe_delays = [0.0120] * 8  # as long as it was ever probed
+    endpoint.probe_delays = [0.0120] * 8  # as slow as in all earlier probes
     probes.probe_answered(probe, 0.0120)
     assert reported[-1] < 0.033
     for typical_delay in (0.0040, 0.0045):
         fleet.append(SimpleNamespace(zone="b", size=2.0, handle=UpstreamEndpoint("s9")))
-        fleet[
-            -1
-        ].handle.reported_typical_delay = typical_delay  # in zones of their own, as other proxies tell
+        fleet[-1].handle.reported_typical_delay = typical_delay  # as reported by proxies of its zone
     probes.probe_answered(probe, 0.0120)
     probes.probe_answered(probe, 0.0120)
     assert reported[-1] > 0.033
-    endpoint.probe_delays = [
-        0.0060
-    ] * 8  # half as long again as machines of its size take: it was late from the start
+    # 1.5 times the delay of servers of its size: it has been slow since before the proxy started.
+    endpoint.probe_delays = [0.0060] * 8
     server.size = 2.0
     probes.probe_answered(probe, 0.0085)
     probes.probe_answered(probe, 0.0085)
     assert reported[-1] > 0.033
-    endpoint.probe_delays = [0.0006] * 8  # it has hung, and answers as usual again
+    endpoint.probe_delays = [0.0006] * 8  # the server hung before and has recovered
     probes.probe_answered(probe, 0.0041)
     assert reported[-1] < 0.033
-    server.zone = "c"  # the way is the larger part, and no measure for others
+    server.zone = "c"  # another zone: network delay dominates, so there is no baseline
     probes.probe_answered(probe, 0.0120)
     assert reported[-1] < 0.033
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -1,4 +1,4 @@
-"""The machine's own faults on the real program: a stepped wall clock, system calls that fail."""
+"""Faults of the machine against the real program: wall clock steps and failing system calls."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def first_replies(program: Program, count: int, interval: float = 0.0) -> list[str]:
-    """What so many clients hear, who come one after another and end their connection at once."""
+    """Opens requests one after another, each on a new connection; returns the first line of each reply."""
     pause = threading.Event()
     replies = []
     for number in range(count):
@@ -76,7 +76,7 @@
     watch_request, watch = program.discovery.accept_watch()
     faults.set(program.process, wall=later_step)
     change = endpoint_list(42, False, s4=servers[4].address)
-    # A clock that is stepped while the process runs is also that of the machine that tells the start.
+    # If the clock is stepped while the process runs, it is stepped on the machine that reports the start too.
     change["hosts"][0]["born_ms"] = round((time.time() + later_step - initial_step) * 1000)
     StandInDiscovery.send_text(watch, json.dumps(change))
     started_at = time.monotonic()
@@ -85,7 +85,7 @@
         1.0, (time.monotonic() - started_at) * REQUESTS_PER_SECOND / REQUESTS
     )  # on a busy machine
     assert {answer.split(" ")[0] for answer in replies} == {"UP"}
-    # A warm server's share is a fifth of all; a cold one bears 0.15 to 0.3 of that here.
+    # A warmed-up server gets a fifth of the requests; one in slow start sustains 0.15 to 0.3 of that here.
     assert 0 < servers[4].opening_count <= 0.4 * REQUESTS / 5 * duration_factor
 
 
@@ -123,7 +123,7 @@
 
 
 def bind_peer_socket() -> tuple[socket.socket, str]:
-    """Another proxy's side of the datagrams, and its address."""
+    """Binds the datagram socket of another proxy. Returns it and its address."""
     peer_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     peer_socket.bind(("127.0.0.1", 0))
     peer_socket.settimeout(TEST_TIMEOUT)
@@ -223,9 +223,7 @@
     rotation_path = next(tmp_path.glob("*.sock")).with_suffix(".words")
     blocking_directory = Path(f"{rotation_path}.{program.process.pid}.new")
     blocking_directory.mkdir()
-    assert (
-        send_command(program, "/-/servers/s0/disable") == 503
-    )  # done here, and lost if this process is killed
+    assert send_command(program, "/-/servers/s0/disable") == 503  # applied, but lost on a restart
     blocking_directory.rmdir()
     program.next_log_line("operator: written")
     assert send_command(program, "/-/servers/s0/disable") == 200
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -1,4 +1,4 @@
-"""What operators do to a proxy in service: calls, servers out of rotation, drains."""
+"""Operating a running proxy: operator requests, rotation, drains, reloads, metrics."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def start_operable_program(start_program: StartProgram, *servers: StandInServer, **changes: Any) -> Program:
-    """A program that operators may call."""
+    """Starts a program with an operator address."""
     host, port = unused_address()
     known = endpoint_list(41, True, **{f"s{i}": server.address for i, server in enumerate(servers)})
     return start_program(known, mgmt=f"{host}:{port}", **changes)
@@ -34,11 +34,11 @@
         try:
             return LineConnection(socket.create_connection((host, int(port))))
         except ConnectionRefusedError:
-            assert program.process.poll() is None, program.remaining_log()  # not up yet
+            assert program.process.poll() is None, program.remaining_log()  # not listening yet
 
 
 def send_command(program: Program, path: str, method: str = "PUT") -> int:
-    """The status that a call is answered with; the connection ends after it."""
+    """Sends an operator request and returns the status of the response, which closes the connection."""
     line = operator_connection(program)
     line.send_line(f"{method} {path} HTTP/1.1\r\nHost: here\r\n")
     answer = line.file.read().decode()
@@ -173,7 +173,7 @@
     assert send_command(program, "/-/drain") == 200
     program.next_log_line("end moved")
     assert send_command(program, "/-/resume") == 200
-    time.sleep(2.0)  # as long as a drain may take
+    time.sleep(2.0)  # the longest that a drain takes
     assert send_command(program, "/-/drain") == send_command(program, "/-/drain") == 200
     output = program.stop()
     assert program.process.returncode == 0 and "operator: drain (it was)" in output
@@ -206,7 +206,7 @@
 
 
 def settings_with(max_connects: Any = 3, **service_types: Any) -> dict[str, Any]:
-    """Settings with these service types: each its effect, or changes to what all have."""
+    """Returns settings with these service types; each value overrides the default fields."""
     defaults = {"effect": "repeatable", "setup_target_us": 300000, "deadline_us": 1800000}
     listed = [{"name": name, **defaults, **what} for name, what in service_types.items()]
     limits = {**PLATFORM_SETTINGS["policy_limits"], "max_connects": max_connects}
@@ -282,7 +282,7 @@
 
 @pytest.fixture(scope="module")
 def running_program(tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[Program, dict[str, Any]]]:
-    """One program for all broken files, and its sound one: none of them may change anything for the next."""
+    """One program for all invalid files, with its valid configuration, which has to stay in force."""
     for run in program_factory(tmp_path_factory.mktemp("broken"), Program):
         program = start_operable_program(run, StandInServer())
         assert program.open_request().read_line() == "UP r1"
@@ -327,7 +327,7 @@
 
 
 class ProbedServer(StandInServer):
-    """Keeps the connections of probes, each with its first line."""
+    """Records each connection with its first line, answers probes, and records the end of the connection."""
 
     def serve(self, line: LineConnection) -> None:
         first = line.read_line()
@@ -371,7 +371,7 @@
     failed = replies.count("FAIL")
     assert f'brambleplank_requests_ended_total{{what="aborted"}} {failed}\n' in text
     assert f'brambleplank_attempts_ended_total{{what="error"}} {failed}\n' in text
-    refused = failed + 1  # the last one was rejected
+    refused = failed + 1  # the last request was rejected
     assert f'brambleplank_requests_refused_total{{what="no-server"}} {refused}\n' in text
     assert 'brambleplank_servers_changed_total{what="draining"} 2\n' in text
     output = program.stop()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between proxies: what goes out comes in, and nothing else is believed."""
+"""Datagrams between proxies: reports round-trip, and invalid or foreign datagrams are ignored."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -17,12 +17,12 @@
 
 
 def make_peer_link() -> tuple[PeerLink, dict[str, list[Any]], list[bytes]]:
-    """A proxy, what it is told by kinds, and the datagrams it sends."""
-    received: dict[str, list[Any]] = {"time": [], "held": [], "home": [], "turn": []}
-    time, connections, home, turn = (
-        (lambda *what, kind=kind: received[kind].append(what)) for kind in received
+    """Returns a peer link, the reports that it receives, by kind, and the datagrams that it sends."""
+    received: dict[str, list[Any]] = {"message_time": [], "load": [], "group_server": [], "permit": []}
+    time, load, group_server, permit = (
+        (lambda *report, kind=kind: received[kind].append(report)) for kind in received
     )
-    peers = PeerLink(lambda send: None, lambda: TAGS, time, connections, home, turn, HERE, {HERE: 0})
+    peers = PeerLink(lambda send: None, lambda: TAGS, time, load, group_server, permit, HERE, {HERE: 0})
     sent = list[bytes]()
     peers.transport = SimpleNamespace(write=lambda datagram, where: sent.append(datagram))
     return peers, received, sent
@@ -46,11 +46,13 @@
     for datagram in sent:
         peers.datagramReceived(datagram, HERE)
     assert connections == {
-        server: count for _, part, *_ in received["held"] for server, count in part.items()
+        server: count for _, part, *_ in received["load"] for server, count in part.items()
     }
-    assert [first for *_, first, _ in received["held"]] == [complete, *[False] * 300][: len(received["held"])]
-    assert received["time"] == [(server, round(seconds * 1000) / 1000, round(seconds * 100_000) / 100_000)]
-    assert received["home"] == [(server.points[0] >> 96 << 96, server)] and received["turn"] == [
+    assert [first for *_, first, _ in received["load"]] == [complete, *[False] * 300][: len(received["load"])]
+    assert received["message_time"] == [
+        (server, round(seconds * 1000) / 1000, round(seconds * 100_000) / 100_000)
+    ]
+    assert received["group_server"] == [(server.points[0] >> 96 << 96, server)] and received["permit"] == [
         (0, server, 2)
     ]
     data_size = sum(3 + len(encode_varint(count)) for count in connections.values())
@@ -71,10 +73,10 @@
         b"\x04\x42\x00",
     ):
         peers.datagramReceived(malformed, HERE)
-    assert not [report for report in received["time"] if report[0] is SERVERS[1] and report[1] == 0.2]
-    assert all(0 <= report[1] < 3600 and 0 <= report[2] < 3600 for report in received["time"])
-    peers.datagramReceived(b"s0 0.200 0.00400", HERE)  # a proxy of before is still heard
-    assert received["time"][-1] == (SERVERS[0], 0.2, 0.004)
+    assert not [report for report in received["message_time"] if report[0] is SERVERS[1] and report[1] == 0.2]
+    assert all(0 <= report[1] < 3600 and 0 <= report[2] < 3600 for report in received["message_time"])
+    peers.datagramReceived(b"s0 0.200 0.00400", HERE)  # the text format is still accepted
+    assert received["message_time"][-1] == (SERVERS[0], 0.2, 0.004)
 
 
 def test_obsolete_format_is_ignored() -> None:
@@ -82,4 +84,4 @@
     for kind in range(8):
         tags = b"".join((server.points[0] & 0xFFFF).to_bytes(2, "big") + b"\x07" for server in SERVERS[:31])
         peers.datagramReceived(bytes([1, kind * 32 + 31]) + tags, HERE)
-    assert received == {"time": [], "held": [], "home": [], "turn": []}
+    assert received == {"message_time": [], "load": [], "group_server": [], "permit": []}
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Dates are compared with the wall clock: a step forward does not bring them nearer at once."""
+"""The settled wall time, with which dates are compared, does not follow a forward step at once."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def clocks(monkeypatch: pytest.MonkeyPatch) -> dict[str, float]:
-    """The machine's two clocks, moved by hand."""
+    """The wall clock and the monotonic clock, set by the test."""
     clocks = {"wall": START_TIME, "monotonic": 500.0}
     monkeypatch.setattr("brambleplank.net.clock.time.time", lambda: clocks["wall"])
     monkeypatch.setattr("brambleplank.net.clock.time.monotonic", lambda: clocks["monotonic"])
@@ -30,7 +30,7 @@
     for _ in range(14):
         assert clock.settled_wall_time() < START_TIME + 0.5 * HOUR
         advance(clocks, 60.0)
-    clocks["wall"] -= HOUR  # the step was a mistake, and is taken back
+    clocks["wall"] -= HOUR  # the step is reverted before it has settled
     assert clock.settled_wall_time() == pytest.approx(START_TIME + 14 * 60.0)
     clocks["wall"] += HOUR
     for _ in range(16):
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from typing import Any
 
-TEST_TIMEOUT = 15.0  # seconds; far longer than any single step of a test should take
+TEST_TIMEOUT = 15.0  # seconds; far longer than any single step of a test takes
 POLL_INTERVAL = 0.02  # seconds
 
 
 def wait_until(condition: Callable[[], Any], timeout: float = TEST_TIMEOUT) -> Any:
-    """Returns the first true value of the condition; fails the test if there is none in time."""
+    """Returns the first true value of a condition; fails the test if there is none before the timeout."""
     pause = threading.Event()
     deadline = time.monotonic() + timeout
     while not (value := condition()):
