--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -52,10 +52,10 @@
     start_program: StartProgram, tmp_path: Path, step: float
 ) -> None:
     faults = FaultInjector(tmp_path)
-    silent = StandInServer(None)
-    program = start_program(complete_list([silent]), patch=faults.patch)
+    silent_server = StandInServer(None)
+    program = start_program(complete_list([silent_server]), patch=faults.patch)
     client = program.open_request(traffic_class="order", deadline_ms=900)
-    silent.next_opening()
+    silent_server.next_opening()
     started_at = time.monotonic()
     faults.set(program.process, wall=step)
     assert client.read_line() == "FAIL"
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -39,9 +39,9 @@
 
 def send_command(program: Program, path: str, method: str = "PUT") -> int:
     """Sends an operator request and returns the status of the response, which closes the connection."""
-    line = operator_connection(program)
-    line.send_line(f"{method} {path} HTTP/1.1\r\nHost: here\r\n")
-    answer = line.file.read().decode()
+    connection = operator_connection(program)
+    connection.send_line(f"{method} {path} HTTP/1.1\r\nHost: here\r\n")
+    answer = connection.file.read().decode()
     assert "Connection: close" in answer and answer.endswith("\n")
     return int(answer.split(" ")[1])
 
@@ -60,8 +60,8 @@
         == 200
     )
     both = {"s0": first_server.address, "s1": other_server.address}
-    for seq, listed in enumerate(({"s0": first_server.address}, {"s1": other_server.address}, both), 42):
-        StandInDiscovery.send_text(watch, json.dumps(endpoint_list(seq, seq != 42, **listed)))
+    for sequence, listed in enumerate(({"s0": first_server.address}, {"s1": other_server.address}, both), 42):
+        StandInDiscovery.send_text(watch, json.dumps(endpoint_list(sequence, sequence != 42, **listed)))
         assert {program.open_request(f"{key:x}").read_line() for key in range(16)} == {"UP other"}
     assert (
         send_command(program, "/-/servers/s9/disable") == send_command(program, "/-/servers/s9/enable") == 404
@@ -79,11 +79,16 @@
     program = start_operable_program(start_program, server)
     health_check, client = program.connect("PING"), program.open_request()
     assert (health_check.read_line(), client.read_line()) == ("PONG", "UP r1")
-    assert [send_command(program, f"/-/{word}") for word in ("resume", "drain", "drain")] == [200] * 3
+    assert [send_command(program, f"/-/{command}") for command in ("resume", "drain", "drain")] == [200] * 3
     health_check.send_line("PING")
-    late = program.open_request()
-    assert (health_check.read_line(), late.read_line()) == ("NO", "UP r1")
-    assert (client.read_line(), client.read_line(), late.read_line(), late.read_line()) == (
+    client_during_drain = program.open_request()
+    assert (health_check.read_line(), client_during_drain.read_line()) == ("NO", "UP r1")
+    assert (
+        client.read_line(),
+        client.read_line(),
+        client_during_drain.read_line(),
+        client_during_drain.read_line(),
+    ) == (
         "MOVE",
         "",
         "MOVE",
@@ -91,11 +96,11 @@
     )
     assert send_command(program, "/-/ready", "GET") == send_command(program, "/-/resume") == 200
     health_check.send_line("PING")
-    late_client = program.open_request()
-    assert (health_check.read_line(), late_client.read_line()) == ("PONG", "UP r1")
-    there = [server.next_opening()[1] for _ in range(3)][-1]
-    late_client.send_line("M 1")
-    assert there.read_line() == "M 1"
+    client_after_resume = program.open_request()
+    assert (health_check.read_line(), client_after_resume.read_line()) == ("PONG", "UP r1")
+    upstream = [server.next_opening()[1] for _ in range(3)][-1]
+    client_after_resume.send_line("M 1")
+    assert upstream.read_line() == "M 1"
 
 
 @pytest.mark.parametrize(
@@ -140,7 +145,7 @@
 ) -> None:
     program = start_operable_program(start_program, StandInServer(), limits={"cores": 1.0, "sockets": 400})
     assert send_command(program, "/-/ready", "GET") == 200
-    silent, stop_event = [operator_connection(program) for _ in range(4)], threading.Event()
+    silent_connections, stop_event = [operator_connection(program) for _ in range(4)], threading.Event()
 
     def send_garbage() -> None:
         while not stop_event.is_set():
@@ -151,17 +156,17 @@
 
     threads = [threading.Thread(target=send_garbage) for _ in range(40)]
     idle_clients = [socket.create_connection(program.address) for _ in range(300)]
-    for each in threads:
-        each.start()
+    for thread in threads:
+        thread.start()
     try:
-        for word in ("drain", "resume") * 5:
+        for command in ("drain", "resume") * 5:
             started_at = time.monotonic()
-            assert send_command(program, f"/-/{word}") == 200 and time.monotonic() < started_at + 1.0
+            assert send_command(program, f"/-/{command}") == 200 and time.monotonic() < started_at + 1.0
     finally:
         stop_event.set()
         for thread in threads:
             thread.join()
-    assert [line.socket.send(b"GET") for line in silent] == [3] * 4 and idle_clients
+    assert [connection.socket.send(b"GET") for connection in silent_connections] == [3] * 4 and idle_clients
 
 
 def test_resume_stops_migrations_and_shutdown_ends_a_drain(
@@ -199,16 +204,16 @@
 
 def test_silent_operator_connections_do_not_block_others(start_program: StartProgram) -> None:
     program = start_operable_program(start_program, StandInServer())
-    silent = [operator_connection(program) for _ in range(40)]
-    silent[-1].socket.sendall(b"PUT /-/dra")
+    silent_connections = [operator_connection(program) for _ in range(40)]
+    silent_connections[-1].socket.sendall(b"PUT /-/dra")
     assert send_command(program, "/-/ready", "GET") == 200
-    assert silent[0].read_line().startswith("HTTP/1.1 503")
+    assert silent_connections[0].read_line().startswith("HTTP/1.1 503")
 
 
 def settings_with(max_connects: Any = 3, **service_types: Any) -> dict[str, Any]:
     """Returns settings with these service types; each value overrides the default fields."""
     defaults = {"effect": "repeatable", "setup_target_us": 300000, "deadline_us": 1800000}
-    listed = [{"name": name, **defaults, **what} for name, what in service_types.items()]
+    listed = [{"name": name, **defaults, **fields} for name, fields in service_types.items()]
     limits = {**PLATFORM_SETTINGS["policy_limits"], "max_connects": max_connects}
     return {**PLATFORM_SETTINGS, "policy_limits": limits, "service_types": listed}
 
@@ -329,12 +334,12 @@
 class ProbedServer(StandInServer):
     """Records each connection with its first line, answers probes, and records the end of the connection."""
 
-    def serve(self, line: LineConnection) -> None:
-        first = line.read_line()
-        self.openings.put((first, line))
-        while first == "PING" and line.read_line() == "PING":
+    def serve(self, connection: LineConnection) -> None:
+        first = connection.read_line()
+        self.openings.put((first, connection))
+        while first == "PING" and connection.read_line() == "PING":
             pass
-        self.openings.put(("end", line))
+        self.openings.put(("end", connection))
 
 
 def test_reload_enables_and_disables_probes(start_program: StartProgram) -> None:
@@ -365,15 +370,15 @@
     )
     while "BUSY" not in program.open_request("7").read_line():
         pass
-    line = operator_connection(program)
-    line.send_line("GET /-/metrics HTTP/1.1\r\nHost: here\r\n")
-    text = line.file.read().decode()
+    connection = operator_connection(program)
+    connection.send_line("GET /-/metrics HTTP/1.1\r\nHost: here\r\n")
+    metrics = connection.file.read().decode()
     failed = replies.count("FAIL")
-    assert f'brambleplank_requests_ended_total{{what="aborted"}} {failed}\n' in text
-    assert f'brambleplank_attempts_ended_total{{what="error"}} {failed}\n' in text
+    assert f'brambleplank_requests_ended_total{{what="aborted"}} {failed}\n' in metrics
+    assert f'brambleplank_attempts_ended_total{{what="error"}} {failed}\n' in metrics
     refused = failed + 1  # the last request was rejected
-    assert f'brambleplank_requests_refused_total{{what="no-server"}} {refused}\n' in text
-    assert 'brambleplank_servers_changed_total{what="draining"} 2\n' in text
+    assert f'brambleplank_requests_refused_total{{what="no-server"}} {refused}\n' in metrics
+    assert 'brambleplank_servers_changed_total{what="draining"} 2\n' in metrics
     output = program.stop()
     assert "server=s0 result=error delay=0." in output and "server: s0 draining" in output
     assert "why=no-server" in output and "violation of" not in output
