--- a/brambleplank/net/buffers.py
+++ b/brambleplank/net/buffers.py
@@ -122,8 +122,8 @@
 
     def unsent_data(self) -> bytes:
         """Returns the buffered data that has not been written yet."""
-        whole: Any = self
-        return bytes(whole.dataBuffer[whole.offset :]) + b"".join(whole._tempDataBuffer)
+        transport: Any = self
+        return bytes(transport.dataBuffer[transport.offset :]) + b"".join(transport._tempDataBuffer)
 
     def _closeSocket(self, orderly: bool) -> None:  # noqa: N802
         super()._closeSocket(orderly and not self.resetting)  # type: ignore[misc]
--- a/brambleplank/net/health_probes.py
+++ b/brambleplank/net/health_probes.py
@@ -41,15 +41,15 @@
         self,
         clock: Clock,
         settings: Settings,
-        ready: Callable[[], list[Server]],
-        measured: Callable[[Server, float], None],
+        ready_servers: Callable[[], list[Server]],
+        message_time_measured: Callable[[Server, float], None],
         open_probe: Callable[[HealthProbes, Server, Address], HealthProbe],
     ) -> None:
-        """`measured` gets message times in seconds; `open_probe` connects to a server and sends a probe."""
+        """Message times are in seconds; `open_probe` connects to a server and sends a probe."""
         self.clock = clock
         self.settings = settings
-        self._ready_servers = ready
-        self._message_time_measured = measured
+        self._ready_servers = ready_servers
+        self._message_time_measured = message_time_measured
         self._open_probe = open_probe
         self._probes: dict[Server, HealthProbe] = {}
 
--- a/brambleplank/peer_messages.py
+++ b/brambleplank/peer_messages.py
@@ -194,8 +194,8 @@
         own_width = TAG_WIDTHS_BY_FIRST_BYTE[message[0]]
         offset = 1
         while offset < len(message):
-            number, count = divmod(message[offset], KIND_FACTOR)
-            kind = SectionKind(number)
+            kind_number, count = divmod(message[offset], KIND_FACTOR)
+            kind = SectionKind(kind_number)
             width = tag_width(kind, own_width)
             entries, offset = decode_section(message, offset + 1, kind, count, width)
             self.receive_section(sender, kind, entries, self.tags().servers_by_tag(width))
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -156,8 +156,8 @@
 
     threads = [threading.Thread(target=send_garbage) for _ in range(40)]
     idle_clients = [socket.create_connection(program.address) for _ in range(300)]
-    for thread in threads:
-        thread.start()
+    for client_thread in threads:
+        client_thread.start()
     try:
         for command in ("drain", "resume") * 5:
             started_at = time.monotonic()
