--- a/brambleplank/net/health_probes.py
+++ b/brambleplank/net/health_probes.py
@@ -78,7 +78,7 @@
         self._probes.pop(probe.server, None)
 
     def close_unready(self) -> None:
-        """Closes probes of servers that are not ready: the connection to a removed machine may never end."""
+        """Closes the probes of unready servers; those of a removed machine would keep their descriptors."""
         for server, probe in list(self._probes.items()):
             if server.status is not EndpointStatus.READY:
                 probe.close()
--- a/brambleplank/net/unix.py
+++ b/brambleplank/net/unix.py
@@ -35,7 +35,7 @@
 
 
 class SocketPathLock:
-    """An exclusive lock on a socket path, held in a lock file beside it until the process ends.
+    """An exclusive lock on a socket path, held on a file beside it until it is released or the process ends.
 
     Without it, two sidecars that find a stale socket could each remove the other's new one. The kernel
     releases the lock when its holder is killed, so a socket whose lock is free is stale.
@@ -58,7 +58,7 @@
             raise
 
     def remove_stale_socket(self) -> None:
-        """Removes the socket that a killed sidecar left at the path. Raises SocketPathError."""
+        """Removes a socket that a killed sidecar left at the path, and nothing else. Raises SocketPathError."""
         try:
             mode = os.lstat(self.path).st_mode
         except FileNotFoundError:
