--- a/brambleplank/net/unix.py
+++ b/brambleplank/net/unix.py
@@ -58,7 +58,7 @@
             raise
 
     def remove_stale_socket(self) -> None:
-        """Removes a socket that a killed sidecar left at the path, and nothing else. Raises SocketPathError."""
+        """Removes a socket that a killed sidecar left at the path, nothing else. Raises SocketPathError."""
         try:
             mode = os.lstat(self.path).st_mode
         except FileNotFoundError:
