--- a/brambleplank/net/event_log.py
+++ b/brambleplank/net/event_log.py
@@ -1,4 +1,4 @@
-"""LogWriter lines and counts of ended requests, failed attempts and changed servers."""
+"""Log lines and counters for ended requests, failed attempts and changed servers."""
 
 from __future__ import annotations
 
@@ -12,56 +12,60 @@
 
 
 class EventLog:
-    """Writes one line, and counts one, for each event."""
+    """Writes one log line and increments one counter for each event."""
 
     def __init__(self, log: LogWriter) -> None:
         self._log = log
         self.metrics = Metrics()
 
     def client_ended(self, client: ClientConnection, age: float, turned_away: bool) -> None:
-        """A client has its final answer, or its connection is closed; `age` is in seconds."""
-        where = client.upstreams[-1].endpoint.name if client.upstreams else "-"
+        """Records a client that has its final answer, or whose connection closed; `age` is in seconds."""
+        server_name = client.upstreams[-1].endpoint.name if client.upstreams else "-"
         name = client.id or "-"
-        tries = len(client.upstreams)
+        attempts = len(client.upstreams)
         self.metrics.count("requests_ended", client.end_code)
         refusal = client.request.reject_reason if client.request else None
         if refusal:
             self.metrics.count("requests_refused", refusal.value)
         why = refusal.value if refusal else client.connection_error
-        text = f"end {client.end_code} {name} server={where} connects={tries} age={age:.3f}"
+        text = f"end {client.end_code} {name} server={server_name} connects={attempts} age={age:.3f}"
         self._log.write_line(
             f"{text} why={why}" if why else text,
             turned_away=turned_away,
             end=client.end_code,
             id=name,
-            server=where,
-            connects=tries,
+            server=server_name,
+            connects=attempts,
             age=round(age, 3),
             why=why,
         )
 
     def attempt_failed(self, upstream: UpstreamConnection, end: AttemptOutcome, delay: float) -> None:
-        """An attempt ended before it was established; `delay` is in seconds."""
+        """Records an attempt that ended before it was established; `delay` is in seconds."""
         self.metrics.count("attempts_ended", end.value)
         name = upstream.client.id
         number = upstream.attempt_number
-        where = upstream.endpoint.name
+        server_name = upstream.endpoint.name
         self._log.write_line(
-            f"attempt {name} number={number} server={where} result={end.value} delay={delay:.3f}",
+            f"attempt {name} number={number} server={server_name} result={end.value} delay={delay:.3f}",
             attempt=True,
             id=name,
             number=number,
-            server=where,
+            server=server_name,
             result=end.value,
             delay=round(delay, 3),
         )
 
     def endpoints_changed(
-        self, now: float, endpoints: Iterable[Endpoint], known: Mapping[str, Server], slow_start_time: float
+        self,
+        now: float,
+        endpoints: Iterable[Endpoint],
+        known_servers: Mapping[str, Server],
+        slow_start_time: float,
     ) -> None:
-        """An endpoint list came: reports servers that drain, are removed, are new or have started anew."""
+        """Records the servers that an endpoint list adds, removes, drains or reports as restarted."""
         for endpoint in endpoints:
-            server = known.get(endpoint.id)
+            server = known_servers.get(endpoint.id)
             starts = endpoint.started > max(server.started if server else 0.0, now - slow_start_time)
             if server and server.status is endpoint.status and not starts:
                 continue
--- a/brambleplank/peer_messages.py
+++ b/brambleplank/peer_messages.py
@@ -1,22 +1,24 @@
-"""Messages between proxies, as bytes: message times at servers, connections held, servers of groups.
-
-What one proxy sends, all others read, and pay for by the byte and by the message. So servers go by short tags
-(`server_tags.py`), numbers have as many bytes as they need (seven bits each, the lowest first, as in Protocol
-Buffers), and what is reported during one event goes out together. The first byte, 3 to 5, is one more than
-the bytes of a tag. After it come sections; each has a byte with its kind, times 32, and its number of
-entries:
-
-    1  tag count            connections held here, for each server that has changed
-    2                       earlier reports are void: what follows is all that is held here
-    3  tag ms               how long messages take there, in thousandths of a second
-    4  tag ms usual         and what a probe usually takes there, in hundred-thousandths
-    5  position tag         the server of a displaced group, by four bytes of the group's ring position
-    0  tag message          a slow-start permit is requested of the aggregator (2), granted (1) or denied (0);
-                            the tag has four bytes here whatever the others have
-    6, 7                    as 1 and 2, of all proxies together, by the aggregator
-
-Both hosts send it: datagrams between proxies on sockets, messages on the simulator's wire. Before, the first
-byte was 1, tags had two bytes and counts one. Neither form is read by a program that sends the other.
+"""Binary messages between proxies: message times, load reports, servers of affinity groups, permits.
+
+Every proxy receives what each of the others sends, so the cost grows with the bytes and with the number of
+messages. Therefore servers are identified by short tags (`server_tags.py`), numbers are encoded as varints as
+in Protocol Buffers, and all reports of one event are batched. The first byte of a message is the width of its
+tags in bytes plus one (3 to 5). Sections follow. The first byte of a section is its kind times 32 plus the
+number of its entries:
+
+    kind  entry
+    1     tag count         connections of the sender at each server whose count has changed
+    2     (no entries)      discards earlier reports: the counts that follow are all connections of the sender
+    3     tag ms            message time at a server, in milliseconds
+    4     tag ms delay      the same, and the typical delay of a probe there, in units of 10 microseconds
+    5     position tag      server of a displaced affinity group, by four bytes of the group's ring position
+    0     tag message       requests a slow-start permit from the aggregator (2), grants (1) or denies (0) it;
+                            the tag always has four bytes here
+    6, 7                    as 1 and 2, for all proxies together, sent by the aggregator
+
+Both hosts use this format: the network in datagrams between proxies, the simulator in messages on its wire.
+The previous format began with the byte 1 and had tags of two bytes and counts of one. A program that sends
+one of the two formats doesn't read the other.
 """
 
 from __future__ import annotations
@@ -30,178 +32,181 @@
 from brambleplank.records import UNREPORTED_POSITION_BITS, Server
 from brambleplank.server_tags import MAX_TAG_WIDTH, TAG_WIDTHS, ServerTags
 
-TAG_WIDTHS_BY_FIRST_BYTE = {1 + width: width for width in TAG_WIDTHS}  # bytes of a tag, by the first byte
+TAG_WIDTHS_BY_FIRST_BYTE = {1 + width: width for width in TAG_WIDTHS}  # in bytes
 
 
 class SectionKind(IntEnum):
-    """What the entries of a section say."""
+    """Kind of the entries of a section; the values are sent."""
 
     PERMIT = 0
     LOAD_CHANGES = 1
-    WHOLE_LOAD = 2
+    COMPLETE_LOAD = 2
     MESSAGE_TIME = 3
     MESSAGE_AND_PROBE_TIME = 4
     GROUP_SERVER = 5
     AGGREGATE_CHANGES = 6
-    WHOLE_AGGREGATE = 7
+    COMPLETE_AGGREGATE = 7
 
 
-NUMBERS = {
+VARINTS_PER_ENTRY = {
     SectionKind.PERMIT: 1,
     SectionKind.LOAD_CHANGES: 1,
-    SectionKind.WHOLE_LOAD: 1,
+    SectionKind.COMPLETE_LOAD: 1,
     SectionKind.MESSAGE_TIME: 1,
     SectionKind.MESSAGE_AND_PROBE_TIME: 2,
     SectionKind.GROUP_SERVER: 0,
     SectionKind.AGGREGATE_CHANGES: 1,
-    SectionKind.WHOLE_AGGREGATE: 1,
-}  # of an entry, after its tag
-WHOLE_KINDS = (SectionKind.WHOLE_LOAD, SectionKind.WHOLE_AGGREGATE)
-AGGREGATE_KINDS = (SectionKind.AGGREGATE_CHANGES, SectionKind.WHOLE_AGGREGATE)
-LOAD_KINDS = (SectionKind.LOAD_CHANGES, SectionKind.WHOLE_LOAD, *AGGREGATE_KINDS)
-KIND_FACTOR = 32  # of a section's first byte; what is below it is the number of entries
-MAX_ENTRIES = KIND_FACTOR - 1  # of a section
-MAX_UNSENT = 4096  # entries that wait for the end of an event
-POSITION_BYTES = 4  # of a group's ring position
-MESSAGE_TIME_UNITS = 1000  # in a second
-PROBE_TIME_UNITS = 100_000  # in a second
-NUMBER_BITS = 7  # of a number in each byte; the eighth says that more bytes follow
-MORE_FOLLOWS = 1 << NUMBER_BITS
-MAX_NUMBER = (1 << 3 * NUMBER_BITS) - 1  # of three bytes
+    SectionKind.COMPLETE_AGGREGATE: 1,
+}  # numbers of an entry, after its tag
+COMPLETE_KINDS = (SectionKind.COMPLETE_LOAD, SectionKind.COMPLETE_AGGREGATE)
+AGGREGATE_KINDS = (SectionKind.AGGREGATE_CHANGES, SectionKind.COMPLETE_AGGREGATE)
+LOAD_KINDS = (SectionKind.LOAD_CHANGES, SectionKind.COMPLETE_LOAD, *AGGREGATE_KINDS)
+KIND_FACTOR = 32  # a section's first byte is its kind times this, plus its number of entries
+MAX_SECTION_ENTRIES = KIND_FACTOR - 1
+MAX_PENDING_ENTRIES = 4096  # entries are sent before the end of the event once there are this many
+RING_POSITION_BYTES = 4
+MESSAGE_TIME_UNITS_PER_SECOND = 1000
+PROBE_TIME_UNITS_PER_SECOND = 100_000
+VARINT_BITS = 7  # payload bits of each byte of a varint
+CONTINUATION_BIT = 1 << VARINT_BITS
+MAX_VARINT = (1 << 3 * VARINT_BITS) - 1  # the largest number of three bytes
 
 
 class MalformedMessageError(BrambleplankError, ValueError):
-    """A section ends amid an entry, or a number does not end."""
+    """A section is truncated within an entry, or a varint does not terminate."""
 
-    ADVICE = "look which build or program sends datagrams to this process; they are ignored"
+    ADVICE = "check which build or program sends datagrams to this process; they are ignored"
 
 
-class UnsentEntry(NamedTuple):
-    """One entry of a section, until it is sent."""
+class PendingEntry(NamedTuple):
+    """An encoded entry of a section, waiting to be sent."""
 
-    to: int | None  # one proxy by its number, or all others
-    width: int  # bytes of its tag
+    recipient: int | None  # number of a proxy; None: all others
+    width: int  # tag width of the message, in bytes
     kind: SectionKind
     data: bytes
 
 
 class ReceivedEntry(NamedTuple):
-    """One entry of a section, as received."""
+    """A decoded entry of a section."""
 
-    position: int  # of a group on the ring, its highest bytes; 0 in sections of other kinds
+    position: int  # the high bytes of a group's ring position; 0 in sections of other kinds
     tag: int
-    numbers: list[int]
+    values: list[int]
 
 
 class PeerMessenger:
-    """Encodes what this proxy reports, and hands on what others do.
+    """Encodes and batches the reports of this proxy, and decodes and dispatches those of others.
 
-    `send_message` carries a message to one proxy by its number, or to all others; `soon` calls back at the
-    end of the event at hand; `tags` gives the tags of the endpoint list. `load_report_received` is given the
-    sender, counts by server, whether they are all, and whether of all proxies.
+    `send_message` sends a message to one proxy, given by number, or to all others (None); `defer` schedules a
+    call for the end of the current event; `tags` returns the tags of the endpoint list.
+    `load_report_received` takes the sender, the connection counts by server, whether they are complete, and
+    whether they are an aggregate.
     """
 
     def __init__(
         self,
         send_message: Callable[[bytes, int | None], None],
-        longest: int,
-        soon: Callable[[Callable[[], None]], object],
+        max_size: int,
+        defer: Callable[[Callable[[], None]], object],
         tags: Callable[[], ServerTags],
         message_time_received: Callable[[Server, float, float], None],
         load_report_received: Callable[[Any, dict[Server, int], bool, bool], None],
         group_server_reported: Callable[[int, Server], None],
         permit_message_received: Callable[[Any, Server, int], None],
     ) -> None:
-        """Messages have `longest` bytes at most."""
+        """`max_size` is the limit of a message in bytes."""
         self.send_message = send_message
-        self.longest = longest
-        self.soon = soon
+        self.max_size = max_size
+        self.defer = defer
         self.tags = tags
         self.message_time_received = message_time_received
         self.load_report_received = load_report_received
         self.group_server_reported = group_server_reported
         self.permit_message_received = permit_message_received
-        self.unsent: list[UnsentEntry] = []
+        self.pending: list[PendingEntry] = []
 
     # Reports of this proxy.
 
-    def report_message_time(self, server: Server, seconds: float, usual: float) -> None:
-        """Reports how long messages take at a server, and how long probes usually do (0: not known)."""
-        message_time = round(seconds * MESSAGE_TIME_UNITS)
-        probe_time = round(usual * PROBE_TIME_UNITS)
+    def report_message_time(self, server: Server, seconds: float, typical_delay: float) -> None:
+        """Reports the message time at a server and the typical delay of a probe (0: unknown), in seconds."""
+        message_time = round(seconds * MESSAGE_TIME_UNITS_PER_SECOND)
+        probe_time = round(typical_delay * PROBE_TIME_UNITS_PER_SECOND)
         if probe_time:
-            self.report(SectionKind.MESSAGE_AND_PROBE_TIME, server, None, message_time, probe_time)
+            self.enqueue_entry(SectionKind.MESSAGE_AND_PROBE_TIME, server, None, message_time, probe_time)
         else:
-            self.report(SectionKind.MESSAGE_TIME, server, None, message_time)
-
-    def send_load_report(self, held: dict[Server, int], whole: bool, to: int | None, summed: bool) -> None:
-        """Reports connections by server: all or only changes, of this proxy or summed over all."""
-        whole_kind = SectionKind.WHOLE_AGGREGATE if summed else SectionKind.WHOLE_LOAD
-        change_kind = SectionKind.AGGREGATE_CHANGES if summed else SectionKind.LOAD_CHANGES
-        if whole or not held:
-            kind = whole_kind if whole else change_kind
-            self.put(UnsentEntry(to, self.tags().width, kind, b""))
-        for server, count in held.items():
-            self.report(change_kind, server, to, count)
+            self.enqueue_entry(SectionKind.MESSAGE_TIME, server, None, message_time)
+
+    def send_load_report(
+        self, connections: dict[Server, int], complete: bool, recipient: int | None, is_aggregate: bool
+    ) -> None:
+        """Reports connections by server: all of them or changes, of this proxy or aggregated over all."""
+        complete_kind = SectionKind.COMPLETE_AGGREGATE if is_aggregate else SectionKind.COMPLETE_LOAD
+        change_kind = SectionKind.AGGREGATE_CHANGES if is_aggregate else SectionKind.LOAD_CHANGES
+        if complete or not connections:
+            kind = complete_kind if complete else change_kind
+            self.enqueue(PendingEntry(recipient, self.tags().width, kind, b""))
+        for server, count in connections.items():
+            self.enqueue_entry(change_kind, server, recipient, count)
 
     def report_group_servers(self, group_servers: dict[int, Server]) -> None:
-        """Reports the servers of displaced groups, by the groups' ring positions."""
+        """Reports the servers of displaced affinity groups, by the groups' ring positions."""
         for position, server in group_servers.items():
-            prefix = (position >> UNREPORTED_POSITION_BITS).to_bytes(POSITION_BYTES, "big")
-            self.report(SectionKind.GROUP_SERVER, server, None, before_tag=prefix)
+            prefix = (position >> UNREPORTED_POSITION_BITS).to_bytes(RING_POSITION_BYTES, "big")
+            self.enqueue_entry(SectionKind.GROUP_SERVER, server, None, prefix=prefix)
 
-    def send_permit_message(self, server: Server, to: int, word: int) -> None:
+    def send_permit_message(self, server: Server, recipient: int, message: int) -> None:
         """Requests, grants or denies a slow-start permit."""
-        self.report(SectionKind.PERMIT, server, to, word)
+        self.enqueue_entry(SectionKind.PERMIT, server, recipient, message)
 
-    def report(
-        self, kind: SectionKind, server: Server, to: int | None, *numbers: int, before_tag: bytes = b""
+    def enqueue_entry(
+        self, kind: SectionKind, server: Server, recipient: int | None, *values: int, prefix: bytes = b""
     ) -> None:
-        """Adds an entry on a server; nothing is reported of one without a tag of its own."""
+        """Enqueues an entry about a server; without a unique tag for the server, does nothing."""
         tags = self.tags()
         width = tag_width(kind, tags.width)
         tag = tags.tag(server, width)
         if tag is not None:
-            data = before_tag + tag.to_bytes(width, "big") + b"".join(map(encode_number, numbers))
-            self.put(UnsentEntry(to, tags.width, kind, data))
-
-    def put(self, entry: UnsentEntry) -> None:
-        """Adds an entry to what goes out at the end of the event."""
-        if not self.unsent:
-            self.soon(self.send)
-        self.unsent.append(entry)
-        # What is reported without end during one event would fill the memory.
-        if len(self.unsent) >= MAX_UNSENT:
+            data = prefix + tag.to_bytes(width, "big") + b"".join(map(encode_varint, values))
+            self.enqueue(PendingEntry(recipient, tags.width, kind, data))
+
+    def enqueue(self, entry: PendingEntry) -> None:
+        """Adds an entry to those that are sent at the end of the event."""
+        if not self.pending:
+            self.defer(self.send)
+        self.pending.append(entry)
+        # Bounds the memory that the reports of one long event can take.
+        if len(self.pending) >= MAX_PENDING_ENTRIES:
             self.send()
 
     def send(self) -> None:
-        """Sends all that was reported since, in as few messages as it takes."""
-        unsent = self.unsent
-        self.unsent = []
-        for (to, width), entries in groupby(unsent, lambda entry: (entry.to, entry.width)):
-            for message in pack(entries, width, self.longest):
-                self.send_message(message, to)
+        """Sends the pending entries in as few messages as their order allows."""
+        pending = self.pending
+        self.pending = []
+        for (recipient, width), entries in groupby(pending, lambda entry: (entry.recipient, entry.width)):
+            for message in pack_entries(entries, width, self.max_size):
+                self.send_message(message, recipient)
 
     # Reports of others.
 
-    def receive(self, message: bytes, teller: Any) -> None:
+    def receive(self, message: bytes, sender: Any) -> None:
         """Reads a message whose first byte is in TAG_WIDTHS_BY_FIRST_BYTE. Raises MalformedMessageError."""
         own_width = TAG_WIDTHS_BY_FIRST_BYTE[message[0]]
-        at = 1
-        while at < len(message):
-            number, count = divmod(message[at], KIND_FACTOR)
-            kind = SectionKind(number)
+        offset = 1
+        while offset < len(message):
+            kind_number, count = divmod(message[offset], KIND_FACTOR)
+            kind = SectionKind(kind_number)
             width = tag_width(kind, own_width)
-            entries, at = decode_section(message, at + 1, kind, count, width)
-            self.receive_section(teller, kind, entries, self.tags().servers_by_tag(width))
+            entries, offset = decode_section(message, offset + 1, kind, count, width)
+            self.receive_section(sender, kind, entries, self.tags().servers_by_tag(width))
 
     def receive_section(
         self, sender: Any, kind: SectionKind, entries: list[ReceivedEntry], servers: dict[int, Server]
     ) -> None:
-        """Hands a section on, without what it says of servers that have no tag of their own here."""
+        """Dispatches the entries of a section; entries whose tag matches no server here are ignored."""
         if kind in LOAD_KINDS:
-            held = {servers[entry.tag]: entry.numbers[0] for entry in entries if entry.tag in servers}
-            self.load_report_received(sender, held, kind in WHOLE_KINDS, kind in AGGREGATE_KINDS)
+            connections = {servers[entry.tag]: entry.values[0] for entry in entries if entry.tag in servers}
+            self.load_report_received(sender, connections, kind in COMPLETE_KINDS, kind in AGGREGATE_KINDS)
             return
         for entry in entries:
             server = servers.get(entry.tag)
@@ -209,91 +214,92 @@
                 self.receive_entry(sender, kind, entry, server)
 
     def receive_entry(self, sender: Any, kind: SectionKind, entry: ReceivedEntry, server: Server) -> None:
-        """Hands on one entry of a section that is not a load report."""
+        """Dispatches an entry of a section that is not a load report."""
         if kind == SectionKind.PERMIT:
-            self.permit_message_received(sender, server, entry.numbers[0])
+            self.permit_message_received(sender, server, entry.values[0])
         elif kind == SectionKind.GROUP_SERVER:
             self.group_server_reported(entry.position << UNREPORTED_POSITION_BITS, server)
         else:
-            probe_units = entry.numbers[1] if kind == SectionKind.MESSAGE_AND_PROBE_TIME else 0
-            message_time = entry.numbers[0] / MESSAGE_TIME_UNITS
-            self.message_time_received(server, message_time, probe_units / PROBE_TIME_UNITS)
+            probe_units = entry.values[1] if kind == SectionKind.MESSAGE_AND_PROBE_TIME else 0
+            message_time = entry.values[0] / MESSAGE_TIME_UNITS_PER_SECOND
+            self.message_time_received(server, message_time, probe_units / PROBE_TIME_UNITS_PER_SECOND)
 
 
 def tag_width(kind: SectionKind, own_width: int) -> int:
-    """Returns the bytes of a tag in a section of a message whose other tags have so many.
+    """Returns the tag width in a section of this kind, in a message with tags of `own_width` bytes.
 
-    A permit that is taken for one of another warming server lets more connect there than it bears.
+    Permits always have the largest width: a permit attributed to the wrong server in slow start would allow
+    more attempts there than it can sustain.
     """
     return MAX_TAG_WIDTH if kind == SectionKind.PERMIT else own_width
 
 
-def encode_number(number: int) -> bytes:
-    """Encodes a number, or the largest that there is, seven bits a byte; all but the last are over 127."""
-    rest = min(number, MAX_NUMBER)
+def encode_varint(number: int) -> bytes:
+    """Encodes a number as a varint, least significant bits first; larger numbers become `MAX_VARINT`."""
+    remaining = min(number, MAX_VARINT)
     data = bytearray()
-    while rest >= MORE_FOLLOWS:
-        data.append(rest & (MORE_FOLLOWS - 1) | MORE_FOLLOWS)
-        rest >>= NUMBER_BITS
-    data.append(rest)
+    while remaining >= CONTINUATION_BIT:
+        data.append(remaining & (CONTINUATION_BIT - 1) | CONTINUATION_BIT)
+        remaining >>= VARINT_BITS
+    data.append(remaining)
     return bytes(data)
 
 
-def decode_number(message: bytes, at: int) -> tuple[int, int]:
-    """Returns the number at an index, and the index after it. Raises IndexError if it does not end."""
+def decode_varint(message: bytes, offset: int) -> tuple[int, int]:
+    """Decodes a varint. Returns the number and the index after it. Raises IndexError if it is truncated."""
     number = 0
     shift = 0
-    while (byte := message[at]) >= MORE_FOLLOWS:
-        number |= (byte & (MORE_FOLLOWS - 1)) << shift
-        shift += NUMBER_BITS
-        at += 1
-    return min(MAX_NUMBER, number | byte << shift), at + 1
+    while (byte := message[offset]) >= CONTINUATION_BIT:
+        number |= (byte & (CONTINUATION_BIT - 1)) << shift
+        shift += VARINT_BITS
+        offset += 1
+    return min(MAX_VARINT, number | byte << shift), offset + 1
 
 
-def pack(entries: Iterable[UnsentEntry], width: int, longest: int) -> Iterator[bytes]:
-    """Packs entries for one reader into messages, each as full as it can be."""
+def pack_entries(entries: Iterable[PendingEntry], width: int, max_size: int) -> Iterator[bytes]:
+    """Packs entries for one recipient into as few messages as possible, keeping their order."""
     message = bytearray([1 + width])
-    section = 0  # where the last section begins
-    kind: SectionKind | None = None  # of the last section
+    section = 0  # index of the last section
+    kind: SectionKind | None = None  # kind of the last section
     for entry in entries:
-        joins = entry.kind == kind and message[section] % KIND_FACTOR < MAX_ENTRIES
-        if len(message) + (not joins) + len(entry.data) > longest:
+        joins_section = entry.kind == kind and message[section] % KIND_FACTOR < MAX_SECTION_ENTRIES
+        if len(message) + (not joins_section) + len(entry.data) > max_size:
             yield bytes(message)
             message = bytearray([1 + width])
-            joins = False
-        if not joins:
+            joins_section = False
+        if not joins_section:
             section = len(message)
             kind = entry.kind
             message.append(kind * KIND_FACTOR)
-        message[section] += bool(entry.data)  # a section that voids earlier reports has no entries
+        message[section] += bool(entry.data)  # a section that discards earlier reports has no entries
         message += entry.data
     yield bytes(message)
 
 
 def decode_section(
-    message: bytes, at: int, kind: SectionKind, count: int, width: int
+    message: bytes, offset: int, kind: SectionKind, count: int, width: int
 ) -> tuple[list[ReceivedEntry], int]:
-    """Returns a section's entries, and the index after them. Raises MalformedMessageError."""
+    """Decodes a section. Returns its entries and the index after them. Raises MalformedMessageError."""
     entries = []
     try:
         for _ in range(count):
-            entry, at = decode_entry(message, at, kind, width)
+            entry, offset = decode_entry(message, offset, kind, width)
             entries.append(entry)
     except IndexError:
-        at = len(message) + 1
-    if at > len(message):
-        raise MalformedMessageError(f"section {int(kind)} ends amid an entry")
-    return entries, at
-
-
-def decode_entry(message: bytes, at: int, kind: SectionKind, width: int) -> tuple[ReceivedEntry, int]:
-    """Returns the entry at an index, and the index after it. Raises IndexError if a number does not end."""
-    tag_at = at + (POSITION_BYTES if kind == SectionKind.GROUP_SERVER else 0)
-    position = int.from_bytes(message[at:tag_at], "big")
-    at = tag_at + width
-    tag = int.from_bytes(message[tag_at:at], "big")
-    numbers = []
-    for _ in range(NUMBERS[kind]):
-        number, at = decode_number(message, at)
-        numbers.append(number)
-    return ReceivedEntry(position, tag, numbers), at
+        offset = len(message) + 1
+    if offset > len(message):
+        raise MalformedMessageError(f"section of kind {int(kind)} is truncated")
+    return entries, offset
+
+
+def decode_entry(message: bytes, offset: int, kind: SectionKind, width: int) -> tuple[ReceivedEntry, int]:
+    """Decodes an entry. Returns it and the index after it. Raises IndexError if a number is truncated."""
+    tag_offset = offset + (RING_POSITION_BYTES if kind == SectionKind.GROUP_SERVER else 0)
+    position = int.from_bytes(message[offset:tag_offset], "big")
+    offset = tag_offset + width
+    tag = int.from_bytes(message[tag_offset:offset], "big")
+    values = []
+    for _ in range(VARINTS_PER_ENTRY[kind]):
+        number, offset = decode_varint(message, offset)
+        values.append(number)
+    return ReceivedEntry(position, tag, values), offset
