--- a/brambleplank/frontends/line/client_connections.py
+++ b/brambleplank/frontends/line/client_connections.py
@@ -13,7 +13,11 @@
 from twisted.python.failure import Failure
 
 from brambleplank.frontends.line import open_line
-from brambleplank.frontends.line.upstream_connections import END, LineUpstreamConnection, whole_lines
+from brambleplank.frontends.line.upstream_connections import (
+    CRLF,
+    LineUpstreamConnection,
+    has_only_whole_lines,
+)
 from brambleplank.interfaces import EndpointAddress, ResumedSession
 from brambleplank.net.buffers import LINGER, FlowControl
 from brambleplank.net.proxy import Proxy
@@ -21,10 +25,10 @@
 
 MAX_LINE_LENGTH = 4094  # bytes, without its CRLF
 FIRST_LINE_TIMEOUT = 2.0  # seconds from its connection to its whole OPEN; it sends that as it connects
-MAX_READ_PAST_END = 64 * 1024  # bytes that are still read of a client that has had its last line
+MAX_TRAILING_BYTES = 64 * 1024  # bytes that are still read of a client that has had its last line
 SHORT_LINGER = 0.3  # seconds to read the answer, for a client that breaks the protocol
 EVICTED_LINGER = 0.1  # seconds to read the answer, for a client whose descriptor is needed
-TURNED_AWAY = frozenset(("garbled", "early", "copied", "idle", "crowded", "silent", "pinged"))
+REFUSED_END_CODES = frozenset(("garbled", "early", "copied", "idle", "crowded", "silent", "pinged"))
 
 
 class LineClientConnection(LineReceiver, TimeoutMixin):
@@ -39,13 +43,13 @@
         self.id = ""  # as OPEN has it, once that was taken
         self.opened_at = 0.0
         self.answer_due = inf  # when its answer is, once it has asked
-        self.read_past_end = 0  # bytes
+        self.trailing_bytes = 0  # bytes
         self.request: Request | None = None
         self.upstreams: list[LineUpstreamConnection] = []  # in the order made
         self.established_upstream: LineUpstreamConnection | None = None  # one of them
         self.resumed_session: ResumedSession | None = None
-        self.pinged = False
-        self.asks_notice = False
+        self.sent_ping = False
+        self.wants_notices = False
         self.connection_error = ""  # by which error its connection broke, if it did
         self.end_code = ""  # the reason code of the end, once there is one
 
@@ -58,19 +62,24 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Passes whole lines on at once; anything else is cut into lines."""
-        if not self.opening_line and not self.pinged and not self.end_code and not self._buffer:
+        if not self.opening_line and not self.sent_ping and not self.end_code and not self._buffer:
             start = bytes(data[:5])
             if not (b"OPEN ".startswith(start) or b"PING\r".startswith(start)):
                 self.finish("garbled", b"ERR")
-        if self.established_upstream and not self._buffer and not self.end_code and whole_lines(data):
+        if (
+            self.established_upstream
+            and not self._buffer
+            and not self.end_code
+            and has_only_whole_lines(data)
+        ):
             self.established_upstream.forward(bytes(data))
         else:
             super().dataReceived(data)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
         """Drops what comes after the last line, up to a limit: a client could go on sending for ever."""
-        self.read_past_end += len(data)
-        if self.read_past_end > MAX_READ_PAST_END:
+        self.trailing_bytes += len(data)
+        if self.trailing_bytes > MAX_TRAILING_BYTES:
             self.transport.pauseProducing()
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
@@ -78,20 +87,20 @@
         if self.end_code:
             return
         if self.established_upstream:
-            self.established_upstream.forward(line + END)
+            self.established_upstream.forward(line + CRLF)
         elif self.opening_line:
             # Passed on once the server answers UP, what no client may send would make the server look broken.
             self.proxy.requests.client_disconnected(self, False)
             self.finish("early", b"ERR")
         elif line == b"PING":
-            self.pinged = True
+            self.sent_ping = True
             self.sendLine(b"PONG" if self.proxy.accepts_requests() else b"NO")
         else:
             self.open_request(line)
 
     def open_request(self, line: bytes) -> None:
         """Opens a request by its OPEN line, or ends the connection."""
-        opened = open_line.read(line, self.proxy.settings)
+        opened = open_line.parse_valid(line, self.proxy.settings)
         if not opened:
             self.finish("garbled", b"ERR")
             return
@@ -108,12 +117,12 @@
     def submit(self, opened: open_line.OpenLine) -> None:
         """Hands the request to the proxy."""
         opening = opened.opening(self.proxy.settings)
-        self.asks_notice = opened.asks_notice
+        self.wants_notices = opened.wants_notices
         if opened.server_id is not None:
             self.proxy.requests.session_resumed(self, opening, opened.server_id)
         else:
-            self.answer_due = self.opened_at + opened.wait
-            self.proxy.requests.request_received(self, opening, opened.wait, opened.is_reconnecting)
+            self.answer_due = self.opened_at + opened.client_timeout
+            self.proxy.requests.request_received(self, opening, opened.client_timeout, opened.is_reconnecting)
 
     # What the proxy asks.
 
@@ -142,7 +151,7 @@
         """A server has answered UP, by this line."""
         self.join_upstream(upstream)
         self.sendLine(line)
-        if self.asks_notice and (notice := self.proxy.requests.notice(self)):
+        if self.wants_notices and (notice := self.proxy.requests.notice(self)):
             self.sendLine(notice.encode())
 
     def join_upstream(self, upstream: LineUpstreamConnection) -> None:
@@ -167,24 +176,24 @@
         """Ends the connection as its server has."""
         self.finish(code, reset=reset)
 
-    def finish(self, code: str, last: bytes = b"", reset: bool = False) -> None:
+    def finish(self, code: str, last_line: bytes = b"", reset: bool = False) -> None:
         """Ends the connection, by a last line or none, and writes its line to the log."""
         if self.end_code:
             return
         self.end_code = code
-        self.proxy.requests.client_ended(self, self.end_code in TURNED_AWAY)
+        self.proxy.requests.client_ended(self, self.end_code in REFUSED_END_CODES)
         self.proxy.admission.client_answered(self)
         self.setRawMode()
         if reset:
             self.transport.leave(True)
             return
-        if last:
-            self.sendLine(last)
+        if last_line:
+            self.sendLine(last_line)
         # Closed with the client's lines unread, the connection would be reset, and the last line lost.
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
         self.transport.resumeProducing()
-        self.setTimeout(SHORT_LINGER if code in TURNED_AWAY else LINGER)
+        self.setTimeout(SHORT_LINGER if code in REFUSED_END_CODES else LINGER)
 
     def timeoutConnection(self) -> None:  # noqa: N802
         """Ends a connection that has not sent its first line, or was answered and is not closed."""
@@ -232,17 +241,17 @@
                     self.clearLineBuffer()
                 )  # a line that it left unfinished
             clean = reason.check(ConnectionDone) is not None
-            self.connection_error = "" if clean else error_of(reason)
+            self.connection_error = "" if clean else error_text(reason)
             if self.opening_line:
                 self.end_code = ("closed" if clean else "reset") if self.established_upstream else "left"
             else:
-                self.end_code = "pinged" if self.pinged else "silent"
+                self.end_code = "pinged" if self.sent_ping else "silent"
             self.proxy.requests.client_disconnected(self, not clean)
-            self.proxy.requests.client_ended(self, self.end_code in TURNED_AWAY)
+            self.proxy.requests.client_ended(self, self.end_code in REFUSED_END_CODES)
         self.proxy.requests.client_closed(self)
 
 
-def error_of(reason: Failure) -> str:
+def error_text(reason: Failure) -> str:
     """Returns the error by which a connection broke, as its transport names it."""
     arguments = reason.value.args if reason.value else ()
     return str(arguments[0]) if arguments else "reset"
--- a/brambleplank/frontends/line/open_line.py
+++ b/brambleplank/frontends/line/open_line.py
@@ -8,9 +8,9 @@
 from brambleplank.interfaces import RequestOpening
 from brambleplank.model import Settings
 
-LINE_FORM = re.compile(r"OPEN ([0-9a-fA-F]{1,32}) ([0-9a-fA-F]{1,32}) ([!-~]{1,3500})")
-FIELD_FORM = re.compile(r"([a-z][a-z0-9_]{0,31})=([!-+\--~]{1,128})")
-VALUE_FORMS = {
+LINE_PATTERN = re.compile(r"OPEN ([0-9a-fA-F]{1,32}) ([0-9a-fA-F]{1,32}) ([!-~]{1,3500})")
+FIELD_PATTERN = re.compile(r"([a-z][a-z0-9_]{0,31})=([!-+\--~]{1,128})")
+VALUE_PATTERNS = {
     "d": re.compile(r"[0-9]{1,10}"),
     "g": re.compile(r"[0-9a-fA-F]{1,32}"),
     "r": re.compile(r"[01]"),
@@ -33,7 +33,7 @@
         return self.fields.get("at")
 
     @property
-    def wait(self) -> float:
+    def client_timeout(self) -> float:
         """For how many seconds the client waits for its answer; only a new request says it."""
         return int(self.fields["d"]) / 1000
 
@@ -43,7 +43,7 @@
         return self.fields.get("again") == "1"
 
     @property
-    def asks_notice(self) -> bool:
+    def wants_notices(self) -> bool:
         """Whether the client wants notices about its session."""
         return self.fields.get("notice") == "1"
 
@@ -62,33 +62,33 @@
         )
 
 
-def read(line: bytes, settings: Settings) -> OpenLine | None:
+def parse_valid(line: bytes, settings: Settings) -> OpenLine | None:
     """Returns the decoded line; None if it is no opening that a server of this site could use."""
-    opened = decode(line)
-    return opened if opened and is_usable(opened.fields, settings) else None
+    opened = parse(line)
+    return opened if opened and is_valid(opened.fields, settings) else None
 
 
-def decode(line: bytes) -> OpenLine | None:
+def parse(line: bytes) -> OpenLine | None:
     """Returns the decoded line whatever the site has; None if it is not in form.
 
     Each field has to be in form, and none may come twice. A server reads the line too, and in its own way: it
     answers what it cannot use with an error or a close, which would look like a fault of the server.
     """
-    match = LINE_FORM.fullmatch(line.decode(errors="replace"))
+    match = LINE_PATTERN.fullmatch(line.decode(errors="replace"))
     if not match:
         return None
     fields: dict[str, str] = {}
     for part in match[3].split(","):
-        field = FIELD_FORM.fullmatch(part)
+        field = FIELD_PATTERN.fullmatch(part)
         if not field or field[1] in fields:
             return None
-        if field[1] in VALUE_FORMS and not VALUE_FORMS[field[1]].fullmatch(field[2]):
+        if field[1] in VALUE_PATTERNS and not VALUE_PATTERNS[field[1]].fullmatch(field[2]):
             return None
         fields[field[1]] = field[2]
     return OpenLine(match[1], int(match[2], 16), fields)
 
 
-def is_usable(fields: dict[str, str], settings: Settings) -> bool:
+def is_valid(fields: dict[str, str], settings: Settings) -> bool:
     """Returns whether the site has what the request names, and lets its clients wait for so long."""
     traffic_class = settings.traffic_classes.get(fields.get("c", ""))
     if traffic_class is None or (settings.tenants and fields.get("t") not in settings.tenants):
--- a/brambleplank/frontends/line/session_transfer.py
+++ b/brambleplank/frontends/line/session_transfer.py
@@ -25,9 +25,9 @@
 from brambleplank.net.proxy import Proxy
 from brambleplank.net.upstream_endpoint import upstream_endpoint_of
 
-TEXT = "latin-1"  # any bytes as a text of JSON
+BYTES_ENCODING = "latin-1"  # any bytes as a text of JSON
 MIN_FIRST_LINE_TIME = 0.05  # seconds; what has arrived during the move is read first
-KIND_KEYS = frozenset(
+TRAFFIC_CLASS_KEYS = frozenset(
     ("setup_target", "effect", "group", "window", "message_target", "connect_timeout", "max_connects")
 )
 
@@ -56,12 +56,12 @@
         """Returns the stored form, which processes of other releases read."""
         return {
             "id": self.id,
-            "line": self.opening_line.decode(TEXT),
+            "line": self.opening_line.decode(BYTES_ENCODING),
             "came": self.opened_at,
             "server": self.server_id,
             "kind": encode_traffic_class(self.traffic_class),
             "asked": self.unanswered_since,
-            "last": self.last_line.decode(TEXT),
+            "last": self.last_line.decode(BYTES_ENCODING),
         }
 
     @classmethod
@@ -73,12 +73,12 @@
             need(stored.get(key), key, float)
         return cls(
             id=stored["id"],
-            opening_line=stored["line"].encode(TEXT),
+            opening_line=stored["line"].encode(BYTES_ENCODING),
             opened_at=stored["came"],
             server_id=stored["server"],
             traffic_class=decode_traffic_class(stored.get("kind")),
             unanswered_since=stored["asked"],
-            last_line=stored["last"].encode(TEXT),
+            last_line=stored["last"].encode(BYTES_ENCODING),
         )
 
 
@@ -88,16 +88,16 @@
 
     sides: list[ConnectionSide]  # the client's; the server's, where there is a session
     connected_at: float  # 0 once its opening was whole
-    pinged: bool  # whether it has sent a PING in place of an opening
+    sent_ping: bool  # whether it has sent a PING in place of an opening
     session: EstablishedSession | None
 
     def encode(self) -> dict[str, Any]:
         """Returns the stored form, which processes of other releases read."""
         stored: dict[str, Any] = {
-            "halves": [side.partial_line.decode(TEXT) for side in self.sides],
-            "unsent": [side.unsent.decode(TEXT) for side in self.sides],
+            "halves": [side.partial_line.decode(BYTES_ENCODING) for side in self.sides],
+            "unsent": [side.unsent.decode(BYTES_ENCODING) for side in self.sides],
             "since": self.connected_at,
-            "pinged": self.pinged,
+            "pinged": self.sent_ping,
         }
         if self.session is not None:
             stored.update(self.session.encode())
@@ -109,7 +109,9 @@
         for key, kind in (("halves", list), ("unsent", list), ("since", float), ("pinged", bool)):
             need(stored.get(key), key, kind)
         sides = [
-            ConnectionSide(partial_line.encode(TEXT), stored["unsent"][number].encode(TEXT))
+            ConnectionSide(
+                partial_line.encode(BYTES_ENCODING), stored["unsent"][number].encode(BYTES_ENCODING)
+            )
             for number, partial_line in enumerate(stored["halves"])
         ]
         session = EstablishedSession.decode(stored) if "line" in stored else None
@@ -163,7 +165,9 @@
         proxy.admission.request_ended(client.id)
     client.end_code = "handed"
     proxy.requests.client_closed(client)
-    return DetachedConnection(TransferredConnection(sides, connected_at, client.pinged, session), descriptors)
+    return DetachedConnection(
+        TransferredConnection(sides, connected_at, client.sent_ping, session), descriptors
+    )
 
 
 def encode_traffic_class(traffic_class: TrafficClass) -> dict[str, Any]:
@@ -183,7 +187,7 @@
     """Returns the traffic class of a stored form. Raises InvalidConfigurationError."""
     need(stored, "kind", dict)
     try:
-        if unknown := stored.keys() - KIND_KEYS:
+        if unknown := stored.keys() - TRAFFIC_CLASS_KEYS:
             raise InvalidConfigurationError(f"kind: unknown key {min(unknown)!r:.40}")
         return TrafficClass(
             latency_objective=stored["setup_target"],
@@ -222,7 +226,7 @@
 def adopt_pending(proxy: Proxy, connection: TransferredConnection, descriptors: list[int]) -> None:
     """Goes on with a client that has not sent all of its opening."""
     client = LineClientConnection(proxy)
-    client.pinged = connection.pinged
+    client.sent_ping = connection.sent_ping
     connect_transport(client, descriptors[0])
     now = proxy.clock.now()
     connected_at = min(now, connection.connected_at)
@@ -235,7 +239,7 @@
     proxy: Proxy, connection: TransferredConnection, session: EstablishedSession, descriptors: list[int]
 ) -> None:
     """Goes on with an established session. Raises InvalidConfigurationError."""
-    opened = open_line.decode(session.opening_line)
+    opened = open_line.parse(session.opening_line)
     if opened is None:
         raise InvalidConfigurationError(f"line: {session.opening_line[:60]!r}")
     server = proxy.balancer.find_or_add_server(proxy.clock.now(), session.server_id)
--- a/brambleplank/frontends/line/upstream_connections.py
+++ b/brambleplank/frontends/line/upstream_connections.py
@@ -19,11 +19,11 @@
 from brambleplank.net.message_times import SILENT_AFTER
 from brambleplank.net.proxy import Proxy
 
-WAIT_FIELD = re.compile(rb"(?<=[ ,])d=\d+")
+DEADLINE_FIELD = re.compile(rb"(?<=[ ,])d=\d+")
 UP_LINE = re.compile(rb"UP [!-~]+")
 MAX_LINE_SIZE = 4096  # bytes, its end included
 RESUME_TIMEOUT = 40.0  # seconds for a session from before the start; later it counts as lost
-END = b"\r\n"
+CRLF = b"\r\n"
 END_CODES = {
     AttemptOutcome.OK: "bye",
     AttemptOutcome.CANCELLED: "drained",
@@ -32,9 +32,9 @@
 FINAL_OUTCOMES = {b"BYE": AttemptOutcome.OK, b"MOVE": AttemptOutcome.CANCELLED, b"ERR": AttemptOutcome.ERROR}
 
 
-def whole_lines(data: bytes | memoryview) -> bool:
+def has_only_whole_lines(data: bytes | memoryview) -> bool:
     """Returns whether data holds whole lines and nothing else, none longer than the protocol allows."""
-    return len(data) <= MAX_LINE_SIZE and data[-2:] == END
+    return len(data) <= MAX_LINE_SIZE and data[-2:] == CRLF
 
 
 class AttemptingClient(ClientConnection, Protocol):
@@ -56,7 +56,7 @@
 class LineUpstreamConnection(LineReceiver, ClientFactory):
     """One attempt at a server: its connection, its OPEN line, the answer, and lines both ways after it."""
 
-    MAX_LENGTH = MAX_LINE_SIZE - len(END)
+    MAX_LENGTH = MAX_LINE_SIZE - len(CRLF)
     noisy = False
     transport: Any = None
 
@@ -80,7 +80,7 @@
         """Connects; given up after `wait` seconds (0: as long as a resumed session may take)."""
         proxy = self.proxy
         if wait:
-            self.opening_line = WAIT_FIELD.sub(
+            self.opening_line = DEADLINE_FIELD.sub(
                 b"d=%d" % max(1, round(wait * 1000)), self.opening_line, count=1
             )
         if self.client.has_ended():
@@ -101,15 +101,15 @@
 
     def timed_out(self) -> None:
         """Lets the loop read once more: after a stall of this process, the answer may have arrived."""
-        self.timer = self.proxy.clock.call_later(0, self.give_up)
+        self.timer = self.proxy.clock.call_later(0, self.end_timed_out)
 
-    def give_up(self) -> None:
+    def end_timed_out(self) -> None:
         """Gives the attempt up."""
         self.end(AttemptOutcome.TIMEOUT if self.opening_written() else AttemptOutcome.UNREACHABLE)
 
     def opening_written(self) -> bool:
         """Returns whether the last byte of OPEN was written: from then on the request may have run."""
-        return self.transport is not None and self.transport.written >= len(self.opening_line) + len(END)
+        return self.transport is not None and self.transport.written >= len(self.opening_line) + len(CRLF)
 
     def buildProtocol(self, addr: object) -> LineUpstreamConnection:  # noqa: ARG002, N802
         """Returns itself: there is one connection."""
@@ -145,11 +145,11 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Passes whole lines on at once; anything else is cut into lines."""
-        if self.established and not self.ended and not self._buffer and whole_lines(data):
+        if self.established and not self.ended and not self._buffer and has_only_whole_lines(data):
             lines = bytes(data)
             if b"LOAD " not in lines:
                 # Only the last of several lines says something about how the server ends.
-                self.last_line = lines[: -len(END)].rsplit(END, 1)[-1]
+                self.last_line = lines[: -len(CRLF)].rsplit(CRLF, 1)[-1]
                 self.unanswered_since = 0.0
                 self.client.transport.write(lines)
                 return
@@ -162,12 +162,12 @@
         if self.established:
             self.forward_reply(line)
         elif UP_LINE.fullmatch(line):
-            self.accepted(line)
+            self.up_received(line)
         else:
             # An answer outside the protocol proves nothing, so the request may have run.
             self.end(AttemptOutcome.FULL if line.split(b" ", 1)[0] == b"BUSY" else AttemptOutcome.ERROR)
 
-    def accepted(self, line: bytes) -> None:
+    def up_received(self, line: bytes) -> None:
         """The server has answered UP."""
         if self.client.end_code:
             # An attempt that could not be cancelled may be established when the client has its answer.
--- a/brambleplank/frontends/management/calls.py
+++ b/brambleplank/frontends/management/calls.py
@@ -22,29 +22,29 @@
 MAX_OPERATOR_CONNECTIONS = (
     16  # at once; beyond that the caller that has been connected for longest is evicted
 )
-CALL_TIMEOUT = 5  # seconds from its last byte to the next of a call that is not whole
-LINGER = 1  # seconds that a caller has to read its answer and to close
+REQUEST_TIMEOUT = 5  # seconds from its last byte to the next of a call that is not whole
+LINGER_TIMEOUT = 1  # seconds that a caller has to read its answer and to close
 MAX_BODY_SIZE = 4096  # bytes; no call needs any
 RESERVED_DESCRIPTORS = (
     MAX_OPERATOR_CONNECTIONS + 2
 )  # for callers, the listener, and one that is being accepted
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """An HTTP status and a line of text."""
 
     status: int
     text: str
 
 
-class Call(NamedTuple):
+class Route(NamedTuple):
     """What a path stands for, and the method that it is called by."""
 
     method: bytes
-    carry_out: Callable[[], CommandResult]
+    handler: Callable[[], CommandResult]
 
 
-class OperatorCall(Request):
+class OperatorRequest(Request):
     """One request: its path says what is wanted."""
 
     channel: Any
@@ -63,62 +63,62 @@
         """Carries out the call and writes the answer."""
         proxy: Proxy = self.channel.proxy
         try:
-            answer = self.answer(proxy)
-        except UnknownServerError as unlisted:
-            answer = Answer(404, f"no list has named a server {str(unlisted)!r:.80}")
+            response = self.response(proxy)
+        except UnknownServerError as unknown:
+            response = Response(404, f"no list has named a server {str(unknown)!r:.80}")
         except Exception as error:
             # Raised further, it would leave the operator without an answer.
             proxy.report_exception(error, error.__traceback__)
-            answer = Answer(500, "fault; the log names the place")
-        line = f"{answer.text}\n".encode()
-        self.setResponseCode(answer.status)
+            response = Response(500, "fault; the log names the place")
+        line = f"{response.text}\n".encode()
+        self.setResponseCode(response.status)
         self.setHeader(b"content-type", b"text/plain; charset=utf-8")
         self.setHeader(b"content-length", str(len(line)).encode())
         self.write(line)
         self.finish()
 
-    def answer(self, proxy: Proxy) -> Answer:
+    def response(self, proxy: Proxy) -> Response:
         """Returns the answer to this request. Raises UnknownServerError."""
         path = [unquote_to_bytes(part).decode(errors="replace") for part in self.path.split(b"/")]
-        call = call_at(path, proxy)
-        if call is None:
-            return Answer(404, "no such call")
-        if self.method != call.method:
-            self.setHeader(b"allow", call.method)
-            return Answer(405, f"this call is made by {call.method.decode()}")
-        result = call.carry_out()
-        return Answer(200 if result.done else 503, result.text)
+        route = route_for(path, proxy)
+        if route is None:
+            return Response(404, "no such call")
+        if self.method != route.method:
+            self.setHeader(b"allow", route.method)
+            return Response(405, f"this call is made by {route.method.decode()}")
+        result = route.handler()
+        return Response(200 if result.done else 503, result.text)
 
 
-def call_at(path: list[str], proxy: Proxy) -> Call | None:
+def route_for(path: list[str], proxy: Proxy) -> Route | None:
     """Returns the call that a path stands for; None if there is none."""
     commands = proxy.operator_commands
-    call = None
+    route = None
     match path:
         case ["", "-", "ready"]:
-            call = Call(b"GET", commands.readiness)
+            route = Route(b"GET", commands.readiness)
         case ["", "-", "metrics"]:
-            call = Call(b"GET", lambda: CommandResult(True, proxy.metrics_text()))
+            route = Route(b"GET", lambda: CommandResult(True, proxy.metrics_text()))
         case ["", "-", "drain"]:
-            call = Call(b"PUT", commands.drain)
+            route = Route(b"PUT", commands.drain)
         case ["", "-", "resume"]:
-            call = Call(b"PUT", commands.resume)
+            route = Route(b"PUT", commands.resume)
         case ["", "-", "servers", str() as name, "disable"] if name:
-            call = Call(b"PUT", lambda: commands.take_out_of_rotation(name))
+            route = Route(b"PUT", lambda: commands.take_out_of_rotation(name))
         case ["", "-", "servers", str() as name, "enable"] if name:
-            call = Call(b"PUT", lambda: commands.return_to_rotation(name))
-    return call
+            route = Route(b"PUT", lambda: commands.return_to_rotation(name))
+    return route
 
 
 class OperatorConnection(HTTPChannel):
     """An operator's connection, for one call."""
 
-    requestFactory = OperatorCall  # noqa: N815
-    timeOut = CALL_TIMEOUT  # noqa: N815
+    requestFactory = OperatorRequest  # noqa: N815
+    timeOut = REQUEST_TIMEOUT  # noqa: N815
     transport: Any
     answered = False
 
-    def __init__(self, factory: OperatorCallFactory) -> None:
+    def __init__(self, factory: OperatorFactory) -> None:
         super().__init__()
         self.factory = factory
         self.proxy = factory.proxy
@@ -126,7 +126,7 @@
     def connectionMade(self) -> None:  # noqa: N802
         """Takes a place among the callers."""
         super().connectionMade()
-        self.factory.connected(self)
+        self.factory.add_connection(self)
 
     def checkPersistence(self, request: Request, version: bytes) -> bool:  # noqa: ARG002, N802
         """Returns False: a connection is for one call."""
@@ -160,7 +160,7 @@
             self.transport.unregisterProducer()
             self.transport.loseWriteConnection()
             self.transport.resumeProducing()
-            self.setTimeout(LINGER)
+            self.setTimeout(LINGER_TIMEOUT)
 
     def timeoutConnection(self) -> None:  # noqa: N802
         """Refuses a call that did not come whole; closes a connection that was answered."""
@@ -180,7 +180,7 @@
         super().connectionLost(reason)
 
 
-class OperatorCallFactory(Factory):
+class OperatorFactory(Factory):
     """Accepts operators' connections, so many at once.
 
     The oldest is evicted for a new one: callers that send nothing would otherwise hold every place, and an
@@ -198,7 +198,7 @@
         """Returns the protocol of a new connection."""
         return OperatorConnection(self)
 
-    def connected(self, connection: OperatorConnection) -> None:
+    def add_connection(self, connection: OperatorConnection) -> None:
         """Takes a connection in, and evicts the oldest where there are too many."""
         self.connections[connection] = None
         if len(self.connections) > MAX_OPERATOR_CONNECTIONS:
--- a/brambleplank/platform/listeners.py
+++ b/brambleplank/platform/listeners.py
@@ -85,9 +85,9 @@
 def listen_for_operators(proxy: Proxy, address: Address, adopted: socket.socket | None) -> Any:
     """Returns the port at which operators call."""
     # Imported only here: a proxy without operators does without HTTP.
-    from brambleplank.frontends.management.calls import MAX_OPERATOR_CONNECTIONS, OperatorCallFactory
+    from brambleplank.frontends.management.calls import MAX_OPERATOR_CONNECTIONS, OperatorFactory
 
-    factory: Any = OperatorCallFactory(proxy)
+    factory: Any = OperatorFactory(proxy)
     if adopted:
         port = reactor.adoptStreamPort(adopted.fileno(), socket.AF_INET, factory)
         adopted.close()
