--- a/brambleplank/frontends/__init__.py
+++ b/brambleplank/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Protocols that clients and servers speak, one package each; none knows another."""
+"""Protocols between clients, the proxy and servers: one package each, independent of the others."""
--- a/brambleplank/frontends/line/__init__.py
+++ b/brambleplank/frontends/line/__init__.py
@@ -1,1 +1,1 @@
-"""Our own line protocol: one OPEN line, its one answer, then lines both ways."""
+"""The line protocol: one OPEN line, one answer to it, then lines in both directions."""
--- a/brambleplank/frontends/line/client_connections.py
+++ b/brambleplank/frontends/line/client_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections: the lines OPEN and PING, the final answer, and lines both ways once established."""
+"""Client connections of the line protocol: OPEN and PING, the answer, and the established session."""
 
 from __future__ import annotations
 
@@ -23,45 +23,45 @@
 from brambleplank.net.proxy import Proxy
 from brambleplank.records import Request
 
-MAX_LINE_LENGTH = 4094  # bytes, without its CRLF
-FIRST_LINE_TIMEOUT = 2.0  # seconds from its connection to its whole OPEN; it sends that as it connects
-MAX_TRAILING_BYTES = 64 * 1024  # bytes that are still read of a client that has had its last line
-SHORT_LINGER = 0.3  # seconds to read the answer, for a client that breaks the protocol
-EVICTED_LINGER = 0.1  # seconds to read the answer, for a client whose descriptor is needed
+MAX_LINE_LENGTH = 4094  # bytes, without the CRLF
+FIRST_LINE_TIMEOUT = 2.0  # seconds from connecting to a complete OPEN; clients send it as they connect
+MAX_TRAILING_BYTES = 64 * 1024  # bytes read and dropped after the client was sent its last line
+SHORT_LINGER = 0.3  # seconds that a client which broke the protocol has to read its answer
+EVICTED_LINGER = 0.1  # seconds that an evicted client has to read its answer
 REFUSED_END_CODES = frozenset(("garbled", "early", "copied", "idle", "crowded", "silent", "pinged"))
 
 
 class LineClientConnection(LineReceiver, TimeoutMixin):
-    """One client's connection, from its first line to its end."""
+    """A client's connection, from accept to close."""
 
     MAX_LENGTH = MAX_LINE_LENGTH
     transport: Any
 
     def __init__(self, proxy: Proxy) -> None:
         self.proxy = proxy
-        self.opening_line = b""  # its OPEN
-        self.id = ""  # as OPEN has it, once that was taken
+        self.opening_line = b""  # the OPEN line, once accepted
+        self.id = ""  # the request id from the OPEN line, once accepted
         self.opened_at = 0.0
-        self.answer_due = inf  # when its answer is, once it has asked
-        self.trailing_bytes = 0  # bytes
+        self.answer_due = inf  # deadline of the answer to a new request
+        self.trailing_bytes = 0  # received after the last line was sent
         self.request: Request | None = None
-        self.upstreams: list[LineUpstreamConnection] = []  # in the order made
-        self.established_upstream: LineUpstreamConnection | None = None  # one of them
+        self.upstreams: list[LineUpstreamConnection] = []  # one per attempt, oldest first
+        self.established_upstream: LineUpstreamConnection | None = None  # one of `upstreams`
         self.resumed_session: ResumedSession | None = None
         self.sent_ping = False
         self.wants_notices = False
-        self.connection_error = ""  # by which error its connection broke, if it did
-        self.end_code = ""  # the reason code of the end, once there is one
+        self.connection_error = ""  # the error that broke the connection, if any
+        self.end_code = ""  # the reason code of the end; "" while open
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Waits for the first line."""
+        """Registers the connection and starts the timeout for the first line."""
         self.transport.setTcpNoDelay(True)
         self.proxy.admission.descriptors_changed(1)
         self.proxy.admission.client_connected(self)
         self.setTimeout(FIRST_LINE_TIMEOUT)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Passes whole lines on at once; anything else is cut into lines."""
+        """Forwards data of whole lines directly once established; splits any other data into lines."""
         if not self.opening_line and not self.sent_ping and not self.end_code and not self._buffer:
             start = bytes(data[:5])
             if not (b"OPEN ".startswith(start) or b"PING\r".startswith(start)):
@@ -77,19 +77,23 @@
             super().dataReceived(data)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Drops what comes after the last line, up to a limit: a client could go on sending for ever."""
+        """Drops data received after the last line was sent.
+
+        Reading stops at a limit, as a client could keep sending forever.
+        """
         self.trailing_bytes += len(data)
         if self.trailing_bytes > MAX_TRAILING_BYTES:
             self.transport.pauseProducing()
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Handles a line by the state of the connection."""
+        """Dispatches a line according to the state of the connection."""
         if self.end_code:
             return
         if self.established_upstream:
             self.established_upstream.forward(line + CRLF)
         elif self.opening_line:
-            # Passed on once the server answers UP, what no client may send would make the server look broken.
+            # No line may follow OPEN before UP. If it were forwarded after UP, the server might fail on it,
+            # and that would count against the server.
             self.proxy.requests.client_disconnected(self, False)
             self.finish("early", b"ERR")
         elif line == b"PING":
@@ -99,13 +103,14 @@
             self.open_request(line)
 
     def open_request(self, line: bytes) -> None:
-        """Opens a request by its OPEN line, or ends the connection."""
+        """Starts a request from its OPEN line, or answers ERR."""
         opened = open_line.parse_valid(line, self.proxy.settings)
         if not opened:
             self.finish("garbled", b"ERR")
             return
         if not self.proxy.admission.request_opened(self, opened.id):
-            # A server that holds the request of that id would answer a copy of it with an error.
+            # The id is in use, or was lately: a server that has that request would answer this one with an
+            # error.
             self.finish("copied", b"ERR")
             return
         self.setTimeout(None)
@@ -115,7 +120,7 @@
         self.proxy.call_or_abort(self, self.submit, opened)
 
     def submit(self, opened: open_line.OpenLine) -> None:
-        """Hands the request to the proxy."""
+        """Submits the request or the resumed session to the proxy."""
         opening = opened.opening(self.proxy.settings)
         self.wants_notices = opened.wants_notices
         if opened.server_id is not None:
@@ -124,13 +129,14 @@
             self.answer_due = self.opened_at + opened.client_timeout
             self.proxy.requests.request_received(self, opening, opened.client_timeout, opened.is_reconnecting)
 
-    # What the proxy asks.
+    # Called by the proxy.
 
     def has_ended(self) -> bool:
-        """Returns whether it has its answer or has disconnected; no attempt may begin then.
+        """Returns whether the client has its final answer or has disconnected; no attempt may begin then.
 
-        Its end may have arrived and not be read yet, after a stall of this process, or as its opening and its
-        end come together; timers and servers' answers come first then, and would go on for nobody.
+        Peeks at the socket, as the end of the stream may have arrived and not been read yet: after a stall of
+        this process, or when the client closes right after OPEN. The reactor runs timers and events of other
+        connections before it reads that, and they would start attempts for a client that is gone.
         """
         if self.end_code or self.transport is None or self.transport.disconnected:
             return True
@@ -142,42 +148,42 @@
             return True
 
     def open_upstream(self, endpoint: EndpointAddress, wait: float) -> None:
-        """Begins an attempt, which is given up after `wait` seconds."""
+        """Starts an attempt, which times out after `wait` seconds (0: the timeout of resumed sessions)."""
         upstream = LineUpstreamConnection(self.proxy, self, len(self.upstreams), endpoint)
         self.upstreams.append(upstream)
         upstream.dial(wait)
 
     def upstream_established(self, upstream: LineUpstreamConnection, line: bytes) -> None:
-        """A server has answered UP, by this line."""
+        """Handles a server's UP: joins both connections and forwards the line to the client."""
         self.join_upstream(upstream)
         self.sendLine(line)
         if self.wants_notices and (notice := self.proxy.requests.notice(self)):
             self.sendLine(notice.encode())
 
     def join_upstream(self, upstream: LineUpstreamConnection) -> None:
-        """Passes all lines through from here on; each side pauses the other where it does not read."""
+        """Forwards lines in both directions from now on; a side that does not read pauses the other one."""
         self.established_upstream = upstream
         self.transport.registerProducer(FlowControl(upstream.transport), True)
         upstream.transport.registerProducer(FlowControl(self.transport), True)
 
     def reject(self, pause: float) -> None:
-        """Answers that trying again is harmless, best after `pause` seconds (0: no advice)."""
+        """Answers BUSY: a retry is safe, after `pause` seconds if possible (0: no advice)."""
         self.finish("rejected", b"BUSY %d" % round(pause * 1000) if pause else b"BUSY")
 
     def abort(self, code: str) -> None:
-        """Answers that the request may or may not have run."""
+        """Answers FAIL: the request may or may not have run; `code` is the reason code."""
         self.finish(code, b"FAIL")
 
     def migrate(self) -> None:
-        """Asks an established client to come again, and ends its connection."""
+        """Sends MOVE, on which an established client reconnects, and ends the connection."""
         self.finish("moved", b"MOVE")
 
     def close_from_upstream(self, code: str, reset: bool) -> None:
-        """Ends the connection as its server has."""
+        """Ends the connection the way its server did, with a reset or without."""
         self.finish(code, reset=reset)
 
     def finish(self, code: str, last_line: bytes = b"", reset: bool = False) -> None:
-        """Ends the connection, by a last line or none, and writes its line to the log."""
+        """Ends the connection, after a last line if one is given, and logs its end."""
         if self.end_code:
             return
         self.end_code = code
@@ -189,57 +195,58 @@
             return
         if last_line:
             self.sendLine(last_line)
-        # Closed with the client's lines unread, the connection would be reset, and the last line lost.
+        # Only the writing side is shut down: closing a socket with unread bytes would send a reset, and the
+        # client would lose the last line.
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
         self.transport.resumeProducing()
         self.setTimeout(SHORT_LINGER if code in REFUSED_END_CODES else LINGER)
 
     def timeoutConnection(self) -> None:  # noqa: N802
-        """Ends a connection that has not sent its first line, or was answered and is not closed."""
+        """Ends a connection without a complete first line; aborts one that lingers after its answer."""
         if self.end_code:
             self.transport.abortConnection()
         else:
-            # After a stall of this process its line may have arrived, and not be read yet.
+            # After a stall of this process, the line may have arrived and not been read yet.
             self.proxy.clock.call_after_reads(0.0, self.end_idle)
 
     def end_idle(self) -> None:
-        """Ends a connection without a first line."""
+        """Ends the connection, unless its OPEN line was read meanwhile."""
         if not self.opening_line:
             self.finish("idle")
 
     def evict(self) -> None:
-        """Ends an idle connection whose descriptor is needed."""
+        """Closes an idle connection to free its descriptor."""
         if self.end_code:
             self.transport.loseConnection()
             return
-        # Closed at once over an opening that is just arriving, it would be reset and lose its answer.
+        # Not closed immediately: if its OPEN is just arriving, that would send a reset, and the client would
+        # lose its answer.
         self.finish("crowded", b"BUSY")
         self.setTimeout(EVICTED_LINGER)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002, N802
-        """Ends a connection with a line that is too long."""
+        """Ends a connection that sends an overlong line."""
         if self.end_code:
             return
         if self.established_upstream:
             self.proxy.requests.client_disconnected(self, True)
             self.finish("garbled", reset=True)
         elif self.opening_line:
-            # Its request was read: a reset would leave it without an answer.
+            # A reset would leave the client's request without an answer.
             self.proxy.requests.client_disconnected(self, False)
             self.finish("early", b"ERR")
         else:
             self.finish("garbled", b"ERR")
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override] # noqa: N802
-        """The connection is closed: reports its end, unless that was reported with its last line."""
+        """Reports the end of the connection, unless `finish` has done so."""
         self.setTimeout(None)
         self.proxy.admission.descriptors_changed(-1)
         if not self.end_code:
             if self.established_upstream and not self.established_upstream.ended:
-                self.established_upstream.transport.write(
-                    self.clearLineBuffer()
-                )  # a line that it left unfinished
+                # The incomplete last line.
+                self.established_upstream.transport.write(self.clearLineBuffer())
             clean = reason.check(ConnectionDone) is not None
             self.connection_error = "" if clean else error_text(reason)
             if self.opening_line:
@@ -252,13 +259,13 @@
 
 
 def error_text(reason: Failure) -> str:
-    """Returns the error by which a connection broke, as its transport names it."""
+    """Returns the transport's name of the error that broke a connection."""
     arguments = reason.value.args if reason.value else ()
     return str(arguments[0]) if arguments else "reset"
 
 
 class LineFrontend(Factory):
-    """Makes the clients' connections of a proxy."""
+    """Builds a protocol for each client connection of a proxy."""
 
     noisy = False
 
@@ -266,13 +273,13 @@
         self.proxy = proxy
 
     def buildProtocol(self, addr: object) -> LineClientConnection:  # noqa: ARG002, N802
-        """Returns the protocol of a new connection."""
+        """Builds the protocol of a new connection."""
         return LineClientConnection(self.proxy)
 
     def accept_capacity(self) -> int:
-        """Returns how many connections may be accepted now."""
+        """Returns how many more connections may be accepted now."""
         return self.proxy.admission.accept_capacity()
 
     def accept_failed(self, number: int | None) -> None:
-        """An accept call failed with this errno."""
+        """Records the errno of a failed accept call."""
         self.proxy.local_faults.record("accept", number)
--- a/brambleplank/frontends/line/open_line.py
+++ b/brambleplank/frontends/line/open_line.py
@@ -1,4 +1,4 @@
-"""The OPEN line, which begins a connection of the line protocol."""
+"""Parses the OPEN line, which starts a request of the line protocol."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class OpenLine:
-    """An OPEN line that is in form: id and key of a request, and its fields by their names on the wire."""
+    """A well-formed OPEN line: the request's id, its key, and its fields by their names on the wire."""
 
     id: str
     key: int
@@ -29,30 +29,30 @@
 
     @property
     def server_id(self) -> str | None:
-        """The server at which the session was open before; None for a new request."""
+        """The server of a session that the client resumes; None for a new request."""
         return self.fields.get("at")
 
     @property
     def client_timeout(self) -> float:
-        """For how many seconds the client waits for its answer; only a new request says it."""
+        """How many seconds the client waits for the answer; valid for a new request only."""
         return int(self.fields["d"]) / 1000
 
     @property
     def is_reconnecting(self) -> bool:
-        """Whether the client had a session that ended, and comes again."""
+        """Whether the client opens a new session to replace one that has ended."""
         return self.fields.get("again") == "1"
 
     @property
     def wants_notices(self) -> bool:
-        """Whether the client wants notices about its session."""
+        """Whether the client asks for notices about its session."""
         return self.fields.get("notice") == "1"
 
     def group(self, settings: Settings) -> int | None:
-        """Returns the affinity group; None if it names none, or the site has none."""
+        """Returns the affinity group; None if the line names none, or affinity groups are not configured."""
         return int(self.fields["g"], 16) if settings.has_groups and "g" in self.fields else None
 
     def opening(self, settings: Settings) -> RequestOpening:
-        """Returns what the line asks for, in the proxy's terms."""
+        """Returns the request in the form that the proxy takes."""
         return RequestOpening(
             traffic_class=self.fields["c"],
             key=self.key,
@@ -63,16 +63,16 @@
 
 
 def parse_valid(line: bytes, settings: Settings) -> OpenLine | None:
-    """Returns the decoded line; None if it is no opening that a server of this site could use."""
+    """Returns the parsed line; None if it is malformed or not valid under the settings."""
     opened = parse(line)
     return opened if opened and is_valid(opened.fields, settings) else None
 
 
 def parse(line: bytes) -> OpenLine | None:
-    """Returns the decoded line whatever the site has; None if it is not in form.
+    """Returns the parsed line, not checked against the settings; None if it is malformed.
 
-    Each field has to be in form, and none may come twice. A server reads the line too, and in its own way: it
-    answers what it cannot use with an error or a close, which would look like a fault of the server.
+    Every field must be well-formed and none may occur twice. The line is also passed on to a server, which
+    would answer a malformed field with an error or a close, and that would count as a failure of the server.
     """
     match = LINE_PATTERN.fullmatch(line.decode(errors="replace"))
     if not match:
@@ -89,7 +89,10 @@
 
 
 def is_valid(fields: dict[str, str], settings: Settings) -> bool:
-    """Returns whether the site has what the request names, and lets its clients wait for so long."""
+    """Returns whether the traffic class and the tenant are configured and the deadline is within its limit.
+
+    A resumed session (`at`) has no deadline.
+    """
     traffic_class = settings.traffic_classes.get(fields.get("c", ""))
     if traffic_class is None or (settings.tenants and fields.get("t") not in settings.tenants):
         return False
--- a/brambleplank/frontends/line/ping_probe.py
+++ b/brambleplank/frontends/line/ping_probe.py
@@ -1,4 +1,4 @@
-"""Probes of the line protocol: PING on a standing connection, answered PONG."""
+"""Health probe of the line protocol: PING on a persistent connection, answered with PONG."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PingProbe(LineReceiver, ClientFactory):
-    """A standing connection to one server, for one PING at a time."""
+    """A persistent connection to one server, with at most one PING outstanding."""
 
     noisy = False
     transport: Any = None
@@ -25,9 +25,9 @@
     def __init__(
         self, admission: ConnectionAdmission, probes: HealthProbes, server: Server, address: Address
     ) -> None:
-        """Connects; the first PING is sent once the connection is up."""
+        """Connects to the server; `connectionMade` sends the first PING."""
         self.server = server
-        self.sent_at = probes.clock.now()  # of the PING without an answer; 0: none is out
+        self.sent_at = probes.clock.now()  # when the outstanding PING was sent; 0: none
         self.unconfirmed_excesses: list[float] = []
         self._admission = admission
         self._probes = probes
@@ -36,7 +36,7 @@
         self._connector.connect()
 
     def buildProtocol(self, addr: object) -> PingProbe:  # noqa: ARG002, N802
-        """Returns itself: there is one connection."""
+        """Returns this object, which is also the protocol of its only connection."""
         return self
 
     def connectionMade(self) -> None:  # noqa: N802
@@ -45,12 +45,15 @@
         self.send()
 
     def send(self) -> None:
-        """Sends a PING."""
+        """Sends a PING and records its time."""
         self.sent_at = self._probes.clock.now()
         self.sendLine(b"PING")
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Measures the delay of a PONG; a server that sends anything else speaks another protocol."""
+        """Measures the delay of a PONG, and closes the connection on any other line.
+
+        A server that sends anything else, or an unexpected PONG, does not implement the probe.
+        """
         if line == b"PONG" and self.sent_at:
             delay = self._probes.clock.now() - self.sent_at
             self.sent_at = 0.0
@@ -59,11 +62,11 @@
             self.transport.loseConnection()
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: ARG002, N802
-        """The server could not be reached."""
+        """Handles a failure to connect."""
         self._closed()
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override] # noqa: ARG002, N802
-        """The connection has ended."""
+        """Handles the end of the connection."""
         self._closed()
 
     def _closed(self) -> None:
@@ -71,5 +74,5 @@
         self._probes.probe_closed(self)
 
     def close(self) -> None:
-        """Ends the connection, or the attempt to connect."""
+        """Closes the connection, or stops connecting."""
         self._connector.disconnect()
--- a/brambleplank/frontends/line/session_transfer.py
+++ b/brambleplank/frontends/line/session_transfer.py
@@ -1,8 +1,8 @@
-"""Moves a client's connection and its server's from one process of a proxy to the next; neither notices.
+"""Hands client connections off to the next process of a proxy, each with its server's connection.
 
-Beside the sockets goes what a process holds of them (`TransferredConnection`). A client can be moved if it is
-established, or has not sent all of its opening. An attempt without an answer belongs to the process that made
-it.
+Client and server do not notice. The sockets are sent together with the state that the process keeps for them
+(`TransferredConnection`). A client can be handed off once its session is established, or while its OPEN line
+is incomplete. A pending attempt stays with the process that made it.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from brambleplank.net.proxy import Proxy
 from brambleplank.net.upstream_endpoint import upstream_endpoint_of
 
-BYTES_ENCODING = "latin-1"  # any bytes as a text of JSON
-MIN_FIRST_LINE_TIME = 0.05  # seconds; what has arrived during the move is read first
+BYTES_ENCODING = "latin-1"  # maps any bytes to a JSON string and back
+MIN_FIRST_LINE_TIME = 0.05  # seconds, so that data that arrived during the handoff is read before a timeout
 TRAFFIC_CLASS_KEYS = frozenset(
     ("setup_target", "effect", "group", "window", "message_target", "connect_timeout", "max_connects")
 )
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class ConnectionSide:
-    """Bytes that belong to one socket: part of a line that was read, and what was not written yet."""
+    """Buffered bytes of one socket: the incomplete line that was read, and data not written yet."""
 
     partial_line: bytes
     unsent: bytes
@@ -42,18 +42,18 @@
 
 @dataclass(frozen=True)
 class EstablishedSession:
-    """A session as its process holds it; times are those of `Clock.now`."""
+    """The state of an established session; times are those of `Clock.now`."""
 
     id: str
     opening_line: bytes
     opened_at: float
     server_id: str
     traffic_class: TrafficClass
-    unanswered_since: float  # 0: no line waits for an answer
-    last_line: bytes  # of the server
+    unanswered_since: float  # when the oldest unanswered line was forwarded; 0: none
+    last_line: bytes  # from the server
 
     def encode(self) -> dict[str, Any]:
-        """Returns the stored form, which processes of other releases read."""
+        """Returns the stored form, which processes of other releases decode."""
         return {
             "id": self.id,
             "line": self.opening_line.decode(BYTES_ENCODING),
@@ -66,7 +66,7 @@
 
     @classmethod
     def decode(cls, stored: dict[str, Any]) -> EstablishedSession:
-        """Raises InvalidConfigurationError, which names the key."""
+        """Decodes the stored form. Raises InvalidConfigurationError, which names the key."""
         for key in ("id", "line", "server", "last"):
             need(stored.get(key), key, str)
         for key in ("came", "asked"):
@@ -84,15 +84,15 @@
 
 @dataclass(frozen=True)
 class TransferredConnection:
-    """A client's connection without its sockets."""
+    """The state of a client's connection, without its sockets."""
 
-    sides: list[ConnectionSide]  # the client's; the server's, where there is a session
-    connected_at: float  # 0 once its opening was whole
-    sent_ping: bool  # whether it has sent a PING in place of an opening
+    sides: list[ConnectionSide]  # of the client, then of the server if there is a session
+    connected_at: float  # 0 once OPEN is complete
+    sent_ping: bool  # whether the client has sent PING
     session: EstablishedSession | None
 
     def encode(self) -> dict[str, Any]:
-        """Returns the stored form, which processes of other releases read."""
+        """Returns the stored form, which processes of other releases decode."""
         stored: dict[str, Any] = {
             "halves": [side.partial_line.decode(BYTES_ENCODING) for side in self.sides],
             "unsent": [side.unsent.decode(BYTES_ENCODING) for side in self.sides],
@@ -105,7 +105,7 @@
 
     @classmethod
     def decode(cls, stored: dict[str, Any]) -> TransferredConnection:
-        """Raises InvalidConfigurationError, which names the key."""
+        """Decodes the stored form. Raises InvalidConfigurationError, which names the key."""
         for key, kind in (("halves", list), ("unsent", list), ("since", float), ("pinged", bool)):
             need(stored.get(key), key, kind)
         sides = [
@@ -119,14 +119,14 @@
 
 
 class DetachedConnection(NamedTuple):
-    """A connection that this process has no part in any more, and its descriptors."""
+    """A connection that was removed from this process, and its descriptors."""
 
     connection: TransferredConnection
     descriptors: list[int]
 
 
 def can_detach(client: LineClientConnection) -> bool:
-    """Returns whether a client can be moved now."""
+    """Returns whether a client can be handed off now."""
     if client.end_code or client.transport is None:
         return False
     upstream = client.established_upstream
@@ -136,7 +136,7 @@
 
 
 def detach(client: LineClientConnection) -> DetachedConnection:
-    """Takes a client and its server out of this process; the descriptors are the caller's from here on."""
+    """Removes a client and its server's connection from this process; the caller owns the descriptors."""
     proxy = client.proxy
     upstream = client.established_upstream
     client.setTimeout(None)
@@ -171,7 +171,7 @@
 
 
 def encode_traffic_class(traffic_class: TrafficClass) -> dict[str, Any]:
-    """Returns the stored form of a traffic class, which processes of other releases read."""
+    """Returns the stored form of a traffic class, which processes of other releases decode."""
     return {
         "setup_target": traffic_class.latency_objective,
         "effect": traffic_class.idempotency.value,
@@ -184,7 +184,7 @@
 
 
 def decode_traffic_class(stored: Any) -> TrafficClass:
-    """Returns the traffic class of a stored form. Raises InvalidConfigurationError."""
+    """Decodes a traffic class from its stored form. Raises InvalidConfigurationError."""
     need(stored, "kind", dict)
     try:
         if unknown := stored.keys() - TRAFFIC_CLASS_KEYS:
@@ -203,9 +203,9 @@
 
 
 def adopt(proxy: Proxy, stored: dict[str, Any], descriptors: list[int]) -> None:
-    """Goes on with a connection of another process, given in its stored form.
+    """Continues a connection that another process has handed off, given in its stored form.
 
-    The descriptors are duplicated where they are used, and closed in any case. Raises
+    Descriptors that are used are duplicated, and all given ones are closed, also after an error. Raises
     InvalidConfigurationError.
     """
     try:
@@ -215,16 +215,14 @@
         else:
             adopt_session(proxy, connection, connection.session, descriptors)
     except (OSError, IndexError, AttributeError, TypeError, UnicodeError) as error:
-        # One that ended on the way has no peer any more; it must not keep the others from going on.
-        raise InvalidConfigurationError(
-            f"a connection that was handed on: {type(error).__name__} {error}"
-        ) from None
+        # A connection may end during the handoff (OSError). One failure must not stop the other handoffs.
+        raise InvalidConfigurationError(f"handed-off connection: {type(error).__name__} {error}") from None
     finally:
         close_descriptors(descriptors)
 
 
 def adopt_pending(proxy: Proxy, connection: TransferredConnection, descriptors: list[int]) -> None:
-    """Goes on with a client that has not sent all of its opening."""
+    """Continues a client whose OPEN line is incomplete."""
     client = LineClientConnection(proxy)
     client.sent_ping = connection.sent_ping
     connect_transport(client, descriptors[0])
@@ -238,7 +236,7 @@
 def adopt_session(
     proxy: Proxy, connection: TransferredConnection, session: EstablishedSession, descriptors: list[int]
 ) -> None:
-    """Goes on with an established session. Raises InvalidConfigurationError."""
+    """Continues an established session. Raises InvalidConfigurationError."""
     opened = open_line.parse(session.opening_line)
     if opened is None:
         raise InvalidConfigurationError(f"line: {session.opening_line[:60]!r}")
@@ -262,7 +260,7 @@
     try:
         connect_transport(upstream, descriptors[1])
     except OSError:
-        client.finish("broke")  # its server ended it on the way
+        client.finish("broke")  # the server ended the session during the handoff
         raise
     client.join_upstream(upstream)
     proxy.requests.upstream_established(upstream)
@@ -271,13 +269,13 @@
 
 
 def connect_transport(protocol: LineClientConnection | LineUpstreamConnection, descriptor: int) -> None:
-    """Makes a transport of a connected socket. Raises OSError where the other side has ended it."""
+    """Connects a protocol to a connected socket. Raises OSError if the other side has closed it."""
     make: Any = ClientTransport._fromConnectedSocket
     make(descriptor, socket.AF_INET, SingleProtocolFactory(protocol), reactor)
 
 
 def restore_bytes(protocol: LineClientConnection | LineUpstreamConnection, side: ConnectionSide) -> None:
-    """Writes what was not written yet, and reads again the part of a line that was read."""
+    """Writes the unsent bytes, and feeds the incomplete line to the protocol again."""
     if side.unsent:
         protocol.transport.write(side.unsent)
     if side.partial_line:
@@ -285,18 +283,18 @@
 
 
 class SingleProtocolFactory:
-    """A factory of one protocol, which there is already."""
+    """A factory that returns an existing protocol."""
 
     def __init__(self, protocol: LineClientConnection | LineUpstreamConnection) -> None:
         self.protocol = protocol
 
     def buildProtocol(self, addr: object) -> LineClientConnection | LineUpstreamConnection:  # noqa: ARG002, N802
-        """Returns the protocol."""
+        """Returns the existing protocol."""
         return self.protocol
 
 
 def close_descriptors(descriptors: Iterable[int]) -> None:
-    """Closes descriptors, whether or not they are open."""
+    """Closes descriptors; errors are ignored, as some may be closed already."""
     for descriptor in descriptors:
         with suppress(OSError):
             os.close(descriptor)
--- a/brambleplank/frontends/line/upstream_connections.py
+++ b/brambleplank/frontends/line/upstream_connections.py
@@ -1,4 +1,4 @@
-"""Connections to servers: one for each connect, with its outcome by the line protocol's table."""
+"""Upstream connections of the line protocol: one per attempt, and the outcome of each attempt."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 DEADLINE_FIELD = re.compile(rb"(?<=[ ,])d=\d+")
 UP_LINE = re.compile(rb"UP [!-~]+")
-MAX_LINE_SIZE = 4096  # bytes, its end included
-RESUME_TIMEOUT = 40.0  # seconds for a session from before the start; later it counts as lost
+MAX_LINE_SIZE = 4096  # bytes, including the CRLF
+RESUME_TIMEOUT = 40.0  # seconds to reach the server of a resumed session; after that the session is lost
 CRLF = b"\r\n"
 END_CODES = {
     AttemptOutcome.OK: "bye",
@@ -33,28 +33,28 @@
 
 
 def has_only_whole_lines(data: bytes | memoryview) -> bool:
-    """Returns whether data holds whole lines and nothing else, none longer than the protocol allows."""
+    """Returns whether data ends with CRLF and is so short that no line in it can be too long."""
     return len(data) <= MAX_LINE_SIZE and data[-2:] == CRLF
 
 
 class AttemptingClient(ClientConnection, Protocol):
-    """What an upstream connection needs of its client, beyond what the proxy does."""
+    """What an upstream connection uses of its client, in addition to what the proxy uses."""
 
     opening_line: bytes
     transport: Any
 
     def sendLine(self, line: bytes) -> object:  # noqa: N802
-        """Sends a line."""
+        """Sends a line to the client."""
 
     def upstream_established(self, connect: LineUpstreamConnection, line: bytes) -> None:
-        """The server has answered UP, by this line."""
+        """Handles the UP line of the server."""
 
     def has_ended(self) -> bool:
-        """Returns whether it has its answer, or has disconnected."""
+        """Returns whether the client has its final answer or has disconnected."""
 
 
 class LineUpstreamConnection(LineReceiver, ClientFactory):
-    """One attempt at a server: its connection, its OPEN line, the answer, and lines both ways after it."""
+    """One attempt: a connection to a server, its OPEN line and answer, then the established session."""
 
     MAX_LENGTH = MAX_LINE_SIZE - len(CRLF)
     noisy = False
@@ -71,20 +71,20 @@
         self.opening_line = client.opening_line
         self.established = False
         self.ended = False
-        self.unanswered_since = 0.0  # when the oldest line without an answer was passed on
+        self.unanswered_since = 0.0  # when the oldest unanswered line was forwarded; 0: none
         self.last_line = b""
         self.timer: DelayedCall | None = None
         self.connector: UpstreamConnector | None = None
 
     def dial(self, wait: float) -> None:
-        """Connects; given up after `wait` seconds (0: as long as a resumed session may take)."""
+        """Connects to the server; the attempt times out after `wait` seconds (0: `RESUME_TIMEOUT`)."""
         proxy = self.proxy
         if wait:
             self.opening_line = DEADLINE_FIELD.sub(
                 b"d=%d" % max(1, round(wait * 1000)), self.opening_line, count=1
             )
         if self.client.has_ended():
-            # Its end is read next and ends this attempt; no server gets it, as nobody waits for it.
+            # The client is gone, so nothing is sent to a server; reading the client's end ends this attempt.
             self.timer = proxy.clock.call_later(wait or RESUME_TIMEOUT, self.timed_out)
             return
         if not proxy.may_dial(self):
@@ -100,25 +100,25 @@
         self.connector.connect()
 
     def timed_out(self) -> None:
-        """Lets the loop read once more: after a stall of this process, the answer may have arrived."""
+        """Defers the timeout until pending reads are done: the answer may have arrived during a stall."""
         self.timer = self.proxy.clock.call_later(0, self.end_timed_out)
 
     def end_timed_out(self) -> None:
-        """Gives the attempt up."""
+        """Ends the attempt; before the whole OPEN was written, the server counts as unreachable."""
         self.end(AttemptOutcome.TIMEOUT if self.opening_written() else AttemptOutcome.UNREACHABLE)
 
     def opening_written(self) -> bool:
-        """Returns whether the last byte of OPEN was written: from then on the request may have run."""
+        """Returns whether all of OPEN was written to the socket; from then on the request may have run."""
         return self.transport is not None and self.transport.written >= len(self.opening_line) + len(CRLF)
 
     def buildProtocol(self, addr: object) -> LineUpstreamConnection:  # noqa: ARG002, N802
-        """Returns itself: there is one connection."""
+        """Returns this object, which is also the protocol of its only connection."""
         return self
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Writes OPEN, unless something has changed since the attempt was decided."""
+        """Writes OPEN, if the client still waits and the proxy still allows the attempt."""
         self.transport.setTcpNoDelay(True)
-        if self.established:  # adopted from another process of this proxy
+        if self.established:  # handed off by the previous process of this proxy
             self.proxy.admission.descriptors_changed(1)
         elif self.ended or self.client.has_ended():
             self.transport.abortConnection()
@@ -126,11 +126,11 @@
             self.end(AttemptOutcome.ABANDONED)
         else:
             self.sendLine(self.opening_line)
-            # At once, as what was just checked may have changed by the loop's next pass.
+            # Flush now: by the reactor's next iteration the conditions checked above may no longer hold.
             self.transport.flush()
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: ARG002, N802
-        """The server could not be reached, or this machine could not try."""
+        """Handles a failure to connect, which is either the server's or this machine's."""
         self.proxy.admission.descriptors_changed(-1)
         if isinstance(reason.value, LocalConnectError):
             self.proxy.local_faults.record(reason.value.call, reason.value.number)
@@ -139,16 +139,16 @@
             self.end(AttemptOutcome.UNREACHABLE)
 
     def forward(self, lines: bytes) -> None:
-        """Passes a client's lines on, whole and with their ends."""
+        """Forwards whole lines of the client, including their CRLF, to the server."""
         self.unanswered_since = self.unanswered_since or self.proxy.clock.now()
         self.transport.write(lines)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Passes whole lines on at once; anything else is cut into lines."""
+        """Forwards data of whole lines directly once established; splits any other data into lines."""
         if self.established and not self.ended and not self._buffer and has_only_whole_lines(data):
             lines = bytes(data)
             if b"LOAD " not in lines:
-                # Only the last of several lines says something about how the server ends.
+                # How the session ended is decided by the last line before the close.
                 self.last_line = lines[: -len(CRLF)].rsplit(CRLF, 1)[-1]
                 self.unanswered_since = 0.0
                 self.client.transport.write(lines)
@@ -156,7 +156,7 @@
         super().dataReceived(data)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Handles the answer to OPEN, and lines after it."""
+        """Handles the answer to OPEN, and any later line that was not forwarded directly."""
         if self.ended:
             return
         if self.established:
@@ -164,13 +164,13 @@
         elif UP_LINE.fullmatch(line):
             self.up_received(line)
         else:
-            # An answer outside the protocol proves nothing, so the request may have run.
+            # Any other answer leaves open whether the request has run, so it counts as an error.
             self.end(AttemptOutcome.FULL if line.split(b" ", 1)[0] == b"BUSY" else AttemptOutcome.ERROR)
 
     def up_received(self, line: bytes) -> None:
-        """The server has answered UP."""
+        """Establishes the session, unless the client has its final answer already."""
         if self.client.end_code:
-            # An attempt that could not be cancelled may be established when the client has its answer.
+            # An attempt that could not be cancelled may succeed after the client was answered.
             self.end(AttemptOutcome.CANCELLED)
             return
         self.established = True
@@ -179,37 +179,37 @@
         self.proxy.requests.upstream_established(self)
 
     def forward_reply(self, line: bytes) -> None:
-        """Passes a server's line on."""
+        """Forwards a line of the server; LOAD does not count as an answer to a client's line."""
         self.last_line = line
         if not line.startswith(b"LOAD "):
             self.unanswered_since = 0.0
         self.client.sendLine(line)
 
     def end_code(self, outcome: AttemptOutcome) -> str:
-        """Returns the reason code of a session that its server has ended with this outcome."""
+        """Returns the reason code of a session that its server ended with this outcome."""
         if outcome is AttemptOutcome.ERROR and self.last_line != b"ERR":
             return "unread"
         return END_CODES.get(outcome, "broke")
 
     def cancel_timer(self) -> None:
-        """Drops the timer."""
+        """Cancels the timer, if one is running."""
         if self.timer and self.timer.active():
             self.timer.cancel()
         self.timer = None
 
     def end(self, outcome: AttemptOutcome, reset: bool = False) -> None:
-        """Ends the attempt or session, and reports it once."""
+        """Ends the attempt or session and reports it to the proxy; further calls do nothing."""
         if self.ended:
             return
         self.close(reset)
         self.proxy.call_or_abort(self.client, self.proxy.requests.upstream_ended, self, outcome, reset)
 
     def close(self, reset: bool = False) -> None:
-        """Ends the connection without a report."""
+        """Closes the connection without reporting to the proxy."""
         self.ended = True
         self.cancel_timer()
         if self.transport is not None and not (self.established or self.opening_written()):
-            # Flushed at the end, OPEN would begin a session that nobody waits for any more.
+            # A graceful close would flush the rest of OPEN and start a session that no client waits for.
             self.transport.abortConnection()
         elif self.transport is not None:
             self.transport.leave(reset)
@@ -217,17 +217,18 @@
             self.connector.disconnect()
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override] # noqa: N802
-        """The server has ended the connection, or it broke."""
+        """Reports the outcome of a connection that the server closed or that broke."""
         self.proxy.admission.descriptors_changed(-1)
         if self.ended:
             return
         if not self.established and not self.opening_written() and self.client.has_ended():
-            self.end(AttemptOutcome.ABANDONED)  # not made for a client that has left; no server's doing
+            self.end(AttemptOutcome.ABANDONED)  # aborted because the client left; not the server's fault
             return
         clean = reason.check(ConnectionDone) is not None
         if self.established:
-            self.client.transport.write(self.clearLineBuffer())  # a line that it left unfinished
-            # A server closes on a line that it cannot read; that is the client's fault, no sign of overload.
+            self.client.transport.write(self.clearLineBuffer())  # the incomplete last line
+            # A server that closes right after a client's line probably could not parse it. That is the
+            # client's fault and no sign of overload.
             unread = self.unanswered_since and self.proxy.clock.now() < self.unanswered_since + SILENT_AFTER
             outcome = AttemptOutcome.ERROR if unread else AttemptOutcome.RESET
             self.end(FINAL_OUTCOMES.get(self.last_line, outcome), not clean)
--- a/brambleplank/frontends/management/__init__.py
+++ b/brambleplank/frontends/management/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' calls over HTTP: is it ready, take a server out and back, drain, resume."""
+"""Management API over HTTP: readiness, metrics, server rotation, drain and resume."""
--- a/brambleplank/frontends/management/calls.py
+++ b/brambleplank/frontends/management/calls.py
@@ -1,7 +1,8 @@
-"""Operators' calls: HTTP/1.1, one call to a connection, answered with a line of text.
+"""Management API for operators: HTTP/1.1, one request per connection, answered with a line of text.
 
-Status codes: 200 done (or so already), 400 no HTTP, 404 no such path or a server that no list has named, 405
-with `Allow`, 408 no whole call in time, 413 more of a body than any call has, 503 not now.
+Status codes: 200 done, or nothing to change; 400 malformed HTTP; 404 unknown path or server; 405 wrong
+method, with `Allow`; 408 incomplete request at the timeout; 413 body too large; 500 internal error; 503 the
+proxy cannot do this now, or the connection was evicted.
 """
 
 from __future__ import annotations
@@ -19,57 +20,53 @@
 from brambleplank.net.operator_commands import CommandResult
 from brambleplank.net.proxy import Proxy
 
-MAX_OPERATOR_CONNECTIONS = (
-    16  # at once; beyond that the caller that has been connected for longest is evicted
-)
-REQUEST_TIMEOUT = 5  # seconds from its last byte to the next of a call that is not whole
-LINGER_TIMEOUT = 1  # seconds that a caller has to read its answer and to close
-MAX_BODY_SIZE = 4096  # bytes; no call needs any
-RESERVED_DESCRIPTORS = (
-    MAX_OPERATOR_CONNECTIONS + 2
-)  # for callers, the listener, and one that is being accepted
+MAX_OPERATOR_CONNECTIONS = 16  # open at once; at the limit a new connection evicts the oldest
+REQUEST_TIMEOUT = 5  # seconds without a byte after which an incomplete request is refused
+LINGER_TIMEOUT = 1  # seconds that a client has to read the response and to close
+MAX_BODY_SIZE = 4096  # bytes; no request needs a body
+RESERVED_DESCRIPTORS = MAX_OPERATOR_CONNECTIONS + 2  # plus the listener and one being accepted
 
 
 class Response(NamedTuple):
-    """An HTTP status and a line of text."""
+    """An HTTP status code and a line of text."""
 
     status: int
     text: str
 
 
 class Route(NamedTuple):
-    """What a path stands for, and the method that it is called by."""
+    """The HTTP method of a path, and the command that it runs."""
 
     method: bytes
     handler: Callable[[], CommandResult]
 
 
 class OperatorRequest(Request):
-    """One request: its path says what is wanted."""
+    """A management request; its path names the command."""
 
     channel: Any
     content: Any
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Refuses a body that is longer than any call has."""
+        """Refuses a request whose declared body is too large."""
         self.content = BytesIO()
         if length is not None and length > MAX_BODY_SIZE:
             self.channel.refuse(b"413 Content Too Large")
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Drops it: no call needs a body, and one without end would fill the memory."""
+        """Discards the body: no request needs one, and an endless chunked body would fill the memory."""
 
     def process(self) -> None:
-        """Carries out the call and writes the answer."""
+        """Runs the command and writes the response."""
         proxy: Proxy = self.channel.proxy
         try:
             response = self.response(proxy)
         except UnknownServerError as unknown:
             response = Response(404, f"no list has named a server {str(unknown)!r:.80}")
         except Exception as error:
-            # Raised further, it would leave the operator without an answer.
+            # If the exception propagated, the operator would get no response.
             proxy.report_exception(error, error.__traceback__)
-            response = Response(500, "fault; the log names the place")
+            response = Response(500, "internal error; see the proxy's log")
         line = f"{response.text}\n".encode()
         self.setResponseCode(response.status)
         self.setHeader(b"content-type", b"text/plain; charset=utf-8")
@@ -78,7 +75,7 @@
         self.finish()
 
     def response(self, proxy: Proxy) -> Response:
-        """Returns the answer to this request. Raises UnknownServerError."""
+        """Runs the command of this request's path and returns the response. Raises UnknownServerError."""
         path = [unquote_to_bytes(part).decode(errors="replace") for part in self.path.split(b"/")]
         route = route_for(path, proxy)
         if route is None:
@@ -91,7 +88,7 @@
 
 
 def route_for(path: list[str], proxy: Proxy) -> Route | None:
-    """Returns the call that a path stands for; None if there is none."""
+    """Returns the route of a path, or None if the path is unknown."""
     commands = proxy.operator_commands
     route = None
     match path:
@@ -111,7 +108,7 @@
 
 
 class OperatorConnection(HTTPChannel):
-    """An operator's connection, for one call."""
+    """An operator's connection, which carries one request."""
 
     requestFactory = OperatorRequest  # noqa: N815
     timeOut = REQUEST_TIMEOUT  # noqa: N815
@@ -124,37 +121,40 @@
         self.proxy = factory.proxy
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Takes a place among the callers."""
+        """Registers the connection, which may evict the oldest one."""
         super().connectionMade()
         self.factory.add_connection(self)
 
     def checkPersistence(self, request: Request, version: bytes) -> bool:  # noqa: ARG002, N802
-        """Returns False: a connection is for one call."""
+        """Returns False: each connection carries one request."""
         request.setHeader(b"connection", b"close")
         return False
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Reads on until the call is answered."""
+        """Parses data until the request is answered; later data is dropped."""
         if not self.answered:
             super().dataReceived(bytes(data))
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Reads a line of the call; what comes after its answer is dropped."""
+        """Parses a line; lines after the response, in the same data, are dropped."""
         if not self.answered:
             super().lineReceived(line)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002, N802
-        """Refuses what is no HTTP."""
+        """Refuses a request with an overlong line, which is not HTTP."""
         self.refuse(b"400 Bad Request")
 
     def refuse(self, status: bytes) -> None:
-        """Answers with a status alone, unless there was an answer."""
+        """Responds with a status line and no body, unless a response was sent."""
         if not self.answered:
             self.transport.write(b"HTTP/1.1 %b\r\nConnection: close\r\nContent-Length: 0\r\n\r\n" % status)
             self.loseConnection()
 
     def loseConnection(self) -> None:  # noqa: N802
-        """Ends this side, and reads on: closed with unread bytes, it would be reset and lose the answer."""
+        """Shuts down the writing side and keeps reading.
+
+        Closing a socket with unread bytes would send a reset, and the client would lose the response.
+        """
         if not self.answered:
             self.answered = True
             self.transport.unregisterProducer()
@@ -163,28 +163,28 @@
             self.setTimeout(LINGER_TIMEOUT)
 
     def timeoutConnection(self) -> None:  # noqa: N802
-        """Refuses a call that did not come whole; closes a connection that was answered."""
+        """Refuses an incomplete request; closes a connection that was answered and is still open."""
         if self.answered:
             self.transport.abortConnection()
         else:
             self.refuse(b"408 Request Timeout")
 
     def evict(self) -> None:
-        """Ends the connection in favour of a newer one."""
+        """Closes the connection to make room for a newer one."""
         self.refuse(b"503 Service Unavailable")
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override] # noqa: N802
-        """Gives its place up."""
+        """Unregisters the connection."""
         self.factory.connections.pop(self, None)
         super().connectionLost(reason)
 
 
 class OperatorFactory(Factory):
-    """Accepts operators' connections, so many at once.
+    """Accepts up to `MAX_OPERATOR_CONNECTIONS` connections of operators.
 
-    The oldest is evicted for a new one: callers that send nothing would otherwise hold every place, and an
-    operator who takes a server out of rotation would get no answer.
+    A new connection beyond the limit evicts the oldest one. Otherwise clients that send nothing could use up
+    all connections, and an operator who takes a server out of rotation would get no response.
     """
 
     noisy = False
@@ -195,11 +195,11 @@
         proxy.admission.descriptors_changed(RESERVED_DESCRIPTORS)
 
     def buildProtocol(self, addr: object) -> OperatorConnection:  # noqa: ARG002, N802
-        """Returns the protocol of a new connection."""
+        """Builds the protocol of a new connection."""
         return OperatorConnection(self)
 
     def add_connection(self, connection: OperatorConnection) -> None:
-        """Takes a connection in, and evicts the oldest where there are too many."""
+        """Registers a connection, and evicts the oldest one if that exceeds the limit."""
         self.connections[connection] = None
         if len(self.connections) > MAX_OPERATOR_CONNECTIONS:
             oldest = next(iter(self.connections))
@@ -207,4 +207,4 @@
             oldest.evict()
 
     def log(self, request: Request) -> None:
-        """Writes nothing: a command is logged where it is carried out."""
+        """Suppresses Twisted's access log: each command is logged where it is run."""
