--- a/brambleplank/frontends/line/client_connections.py
+++ b/brambleplank/frontends/line/client_connections.py
@@ -19,7 +19,7 @@
     has_only_whole_lines,
 )
 from brambleplank.interfaces import EndpointAddress, ResumedSession
-from brambleplank.net.buffers import LINGER, FlowControl
+from brambleplank.net.buffers import LINGER_TIMEOUT, FlowControl
 from brambleplank.net.proxy import Proxy
 from brambleplank.records import Request
 
@@ -42,7 +42,7 @@
         self.opening_line = b""  # the OPEN line, once accepted
         self.id = ""  # the request id from the OPEN line, once accepted
         self.opened_at = 0.0
-        self.answer_due = inf  # deadline of the answer to a new request
+        self.answer_deadline = inf  # deadline of the answer to a new request
         self.trailing_bytes = 0  # received after the last line was sent
         self.request: Request | None = None
         self.upstreams: list[LineUpstreamConnection] = []  # one per attempt, oldest first
@@ -126,7 +126,7 @@
         if opened.server_id is not None:
             self.proxy.requests.session_resumed(self, opening, opened.server_id)
         else:
-            self.answer_due = self.opened_at + opened.client_timeout
+            self.answer_deadline = self.opened_at + opened.client_timeout
             self.proxy.requests.request_received(self, opening, opened.client_timeout, opened.is_reconnecting)
 
     # Called by the proxy.
@@ -191,7 +191,7 @@
         self.proxy.admission.client_answered(self)
         self.setRawMode()
         if reset:
-            self.transport.leave(True)
+            self.transport.close_after_flush(True)
             return
         if last_line:
             self.sendLine(last_line)
@@ -200,7 +200,7 @@
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
         self.transport.resumeProducing()
-        self.setTimeout(SHORT_LINGER if code in REFUSED_END_CODES else LINGER)
+        self.setTimeout(SHORT_LINGER if code in REFUSED_END_CODES else LINGER_TIMEOUT)
 
     def timeoutConnection(self) -> None:  # noqa: N802
         """Ends a connection without a complete first line; aborts one that lingers after its answer."""
--- a/brambleplank/frontends/line/upstream_connections.py
+++ b/brambleplank/frontends/line/upstream_connections.py
@@ -16,7 +16,7 @@
 from brambleplank.net.buffers import UpstreamConnector
 from brambleplank.net.local_faults import LocalConnectError
 from brambleplank.net.loop import reactor
-from brambleplank.net.message_times import SILENT_AFTER
+from brambleplank.net.message_times import SILENCE_THRESHOLD
 from brambleplank.net.proxy import Proxy
 
 DEADLINE_FIELD = re.compile(rb"(?<=[ ,])d=\d+")
@@ -87,7 +87,7 @@
             # The client is gone, so nothing is sent to a server; reading the client's end ends this attempt.
             self.timer = proxy.clock.call_later(wait or RESUME_TIMEOUT, self.timed_out)
             return
-        if not proxy.may_dial(self):
+        if not proxy.may_connect(self):
             self.timer = proxy.clock.call_later(0, self.end, AttemptOutcome.ABANDONED)
             return
         if self.endpoint.address is None:
@@ -122,7 +122,7 @@
             self.proxy.admission.descriptors_changed(1)
         elif self.ended or self.client.has_ended():
             self.transport.abortConnection()
-        elif not self.proxy.may_write(self):
+        elif not self.proxy.may_send_opening(self):
             self.end(AttemptOutcome.ABANDONED)
         else:
             self.sendLine(self.opening_line)
@@ -212,7 +212,7 @@
             # A graceful close would flush the rest of OPEN and start a session that no client waits for.
             self.transport.abortConnection()
         elif self.transport is not None:
-            self.transport.leave(reset)
+            self.transport.close_after_flush(reset)
         elif self.connector is not None:
             self.connector.disconnect()
 
@@ -229,7 +229,9 @@
             self.client.transport.write(self.clearLineBuffer())  # the incomplete last line
             # A server that closes right after a client's line probably could not parse it. That is the
             # client's fault and no sign of overload.
-            unread = self.unanswered_since and self.proxy.clock.now() < self.unanswered_since + SILENT_AFTER
+            unread = (
+                self.unanswered_since and self.proxy.clock.now() < self.unanswered_since + SILENCE_THRESHOLD
+            )
             outcome = AttemptOutcome.ERROR if unread else AttemptOutcome.RESET
             self.end(FINAL_OUTCOMES.get(self.last_line, outcome), not clean)
         else:
