--- a/brambleplank/discovery/consul/answers.py
+++ b/brambleplank/discovery/consul/answers.py
@@ -83,8 +83,8 @@
     ADVICE = "ask that agent by hand for the same path; the next agent is asked meanwhile"
 
 
-RAW_ITEMS: msgspec.json.Decoder[list[msgspec.Raw]] = msgspec.json.Decoder(list[msgspec.Raw])
-ITEM: msgspec.json.Decoder[Item] = msgspec.json.Decoder(Item)
+RAW_ITEMS_DECODER: msgspec.json.Decoder[list[msgspec.Raw]] = msgspec.json.Decoder(list[msgspec.Raw])
+ITEM_DECODER: msgspec.json.Decoder[Item] = msgspec.json.Decoder(Item)
 
 
 class AnswerDecoder:
@@ -102,17 +102,19 @@
         """The servers of an answer, and why others cannot be used. Raises MalformedAnswerError."""
         decoded: dict[bytes, Instance | str] = {}
         try:
-            for raw in RAW_ITEMS.decode(body):
+            for raw in RAW_ITEMS_DECODER.decode(body):
                 encoded = bytes(raw)
-                decoded[encoded] = self.previous.get(encoded) or instance_of(ITEM.decode(encoded), self.keys)
+                decoded[encoded] = self.previous.get(encoded) or decode_instance(
+                    ITEM_DECODER.decode(encoded), self.keys
+                )
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             raise MalformedAnswerError(str(error)) from None
         self.previous = decoded
-        found = {each.id: each for each in decoded.values() if isinstance(each, Instance)}
-        return list(found.values()), [each for each in decoded.values() if isinstance(each, str)]
+        instances = {each.id: each for each in decoded.values() if isinstance(each, Instance)}
+        return list(instances.values()), [each for each in decoded.values() if isinstance(each, str)]
 
 
-def instance_of(item: Item, keys: MetadataKeys) -> Instance | str:
+def decode_instance(item: Item, keys: MetadataKeys) -> Instance | str:
     """One server, or why it cannot be used."""
     name = f"{item.node.node}/{item.service.id}"
     host = item.service.address or item.node.address
@@ -126,9 +128,9 @@
         name,
         address,
         metadata.get(keys.zone, ""),
-        int(number(metadata.get(keys.cell, ""), 0)),
-        size_of(item, health, number(metadata.get(keys.size, ""), 1.0)),
-        number(metadata.get(keys.started, ""), 0.0),
+        int(parse_number(metadata.get(keys.cell, ""), 0)),
+        size_of(item, health, parse_number(metadata.get(keys.size, ""), 1.0)),
+        parse_number(metadata.get(keys.started, ""), 0.0),
         health,
     )
 
@@ -155,7 +157,7 @@
     return min(MAX_SIZE, max(1 / MAX_SIZE, size))
 
 
-def number(text: str, default: float) -> float:
+def parse_number(text: str, default: float) -> float:
     """A number in metadata; the default for what is none, or out of range."""
     try:
         value = float(text)
@@ -164,7 +166,7 @@
     return value if 0 <= value < MAX_NUMBER else default
 
 
-def answer(agent: int, header: Callable[[str], str], after_failure: bool) -> QueryMetadata:
+def decode_metadata(agent: int, header: Callable[[str], str], after_failure: bool) -> QueryMetadata:
     """What the headers of an answer say; `header` gives the text of one, "" if it is not there.
 
     Raises MalformedAnswerError.
--- a/brambleplank/discovery/consul/health.py
+++ b/brambleplank/discovery/consul/health.py
@@ -49,7 +49,7 @@
     flap_memory: float = 60.0  # a flap is forgotten after so long
     min_healthy_share: float = 0.5  # share of healthy servers below which the last good set stays in use
     max_staleness: float = 5.0  # without contact to the leader; beyond that an answer is outdated
-    max_hold_time: float = 60.0  # for so long a set that is absent and uncertain as a whole stays in use
+    max_frozen_time: float = 60.0  # for so long a set that is absent and uncertain as a whole stays in use
 
 
 @dataclass(frozen=True)
@@ -83,8 +83,8 @@
 
     endpoint: Endpoint
     address: Address
-    why: str  # the reported health
-    learnt: float  # when that was reported
+    cause: str  # the reported health
+    reported_at: float  # when that was reported
 
 
 class HealthGroup:
@@ -94,7 +94,7 @@
         self.zone = zone  # empty: all zones
         self.records: dict[ServerRecord, None] = {}
         self.unhealthy = 0
-        self.is_held = False  # whether the last good set stays in use
+        self.is_frozen = False  # whether the last good set stays in use
 
     def has_too_few_healthy(self, min_share: float) -> bool:
         """Whether too many are unhealthy at once: one broken check would empty a zone that serves well."""
@@ -112,9 +112,9 @@
         self.notified: tuple[Endpoint, Address] | None = None
         self.flaps = 0
         self.flapped_at = -inf
-        self.drained_index = 0  # of the answer that reported the drain
+        self.drain_index = 0  # of the answer that reported the drain
         self.groups: list[HealthGroup] = []
-        self.is_counted = False  # whether its groups count it as unhealthy
+        self.counted_unhealthy = False  # whether its groups count it as unhealthy
 
     @property
     def status(self) -> EndpointStatus | None:
@@ -122,9 +122,9 @@
         return self.notified[0].status if self.notified else None
 
     @property
-    def is_held(self) -> bool:
+    def is_frozen(self) -> bool:
         """Whether its last good status stays, as too many others are unhealthy."""
-        return any(group.is_held for group in self.groups)
+        return any(group.is_frozen for group in self.groups)
 
 
 class HealthRecord:
@@ -157,23 +157,23 @@
         self.agent = -1
         self.newest_index = 0
         self.behind_since: float | None = None  # when answers began to be behind the newest index
-        self.changed_at = -inf  # when answers failed, the agent changed, or its index went back
+        self.disrupted_at = -inf  # when answers failed, the agent changed, or its index went back
         self.records: dict[str, ServerRecord] = {}
 
-    def accept(self, now: float, answer: QueryMetadata, max_staleness: float) -> bool:
+    def accept(self, now: float, metadata: QueryMetadata, max_staleness: float) -> bool:
         """Whether an answer is fresh; what is not may only add drains."""
-        is_fresh = answer.known_leader and answer.last_contact <= max_staleness
-        if answer.index < self.newest_index:
+        is_fresh = metadata.known_leader and metadata.last_contact <= max_staleness
+        if metadata.index < self.newest_index:
             # Another agent, or a restored one, may be behind; accepted as it is, it would bring back servers
             # that are known to drain. If it stays behind, its index counts otherwise, and is believed.
             if self.behind_since is None:
                 self.behind_since = now
             is_fresh = is_fresh and now >= self.behind_since + CATCH_UP_TIME
         if is_fresh:
-            if answer.after_failure or answer.agent != self.agent or answer.index < self.newest_index:
-                self.changed_at = now
-            self.agent = answer.agent
-            self.newest_index = answer.index
+            if metadata.after_failure or metadata.agent != self.agent or metadata.index < self.newest_index:
+                self.disrupted_at = now
+            self.agent = metadata.agent
+            self.newest_index = metadata.index
             self.behind_since = None
         return is_fresh
 
@@ -197,43 +197,43 @@
     # What answers report.
 
     def answer_received(
-        self, now: float, name: str, instances: list[Instance], answer: QueryMetadata
+        self, now: float, name: str, instances: list[Instance], metadata: QueryMetadata
     ) -> bool:
         """An answer on a service; False if it was outdated, and only its drains count: ask again soon."""
         service = self.services.setdefault(name, ServiceProgress())
-        is_fresh = service.accept(now, answer, self.settings.max_staleness)
+        is_fresh = service.accept(now, metadata, self.settings.max_staleness)
         for instance in instances:
             record = service.records.get(instance.id)
             if record is None:
                 if is_fresh:
-                    self.add(now, name, instance, answer)
+                    self.add(now, name, instance, metadata)
             elif record.instance is not instance or instance.status is not record.health.status:
-                self.update(now, record, instance, answer, is_fresh)
+                self.update(now, record, instance, metadata, is_fresh)
             elif instance.status is HealthStatus.MAINTENANCE:
-                record.drained_index = max(record.drained_index, answer.index)
+                record.drain_index = max(record.drain_index, metadata.index)
         # What a token with fewer rights does not see would look deregistered.
-        if is_fresh and not answer.filtered_by_acls:
-            self.note_absent(now, service, {instance.id for instance in instances})
+        if is_fresh and not metadata.filtered_by_acls:
+            self.mark_absent(now, service, {instance.id for instance in instances})
         return is_fresh
 
-    def add(self, now: float, name: str, instance: Instance, answer: QueryMetadata) -> None:
+    def add(self, now: float, name: str, instance: Instance, metadata: QueryMetadata) -> None:
         """A server that is new."""
         record = ServerRecord(name, instance, now)
         self.services[name].records[instance.id] = record
         self.join_groups(record)
         if instance.status is HealthStatus.MAINTENANCE:
-            record.drained_index = answer.index
+            record.drain_index = metadata.index
 
     def update(
-        self, now: float, record: ServerRecord, instance: Instance, answer: QueryMetadata, is_fresh: bool
+        self, now: float, record: ServerRecord, instance: Instance, metadata: QueryMetadata, is_fresh: bool
     ) -> None:
         """Another health, address, size or zone of a known server."""
         health = record.health
         if instance.status is HealthStatus.MAINTENANCE:
-            record.drained_index = max(record.drained_index, answer.index)
+            record.drain_index = max(record.drain_index, metadata.index)
         elif not is_fresh or (
             health.status is HealthStatus.MAINTENANCE
-            and answer.index < record.drained_index
+            and metadata.index < record.drain_index
             and now < health.since + CATCH_UP_TIME
         ):
             return  # an older report would lift a drain, or undo what a newer one said
@@ -248,13 +248,13 @@
         if instance.status is not health.status:
             self.change_health(now, record, instance.status)
 
-    def note_absent(self, now: float, service: ServiceProgress, present: set[str]) -> None:
+    def mark_absent(self, now: float, service: ServiceProgress, present: set[str]) -> None:
         """Servers that are not in a fresh answer."""
         if len(present) >= len(service.records):
             return
         for server_id, record in list(service.records.items()):
             if server_id not in present and record.health.status is not HealthStatus.ABSENT:
-                record.health.absence_uncertain = now < service.changed_at + self.settings.settle_time
+                record.health.absence_uncertain = now < service.disrupted_at + self.settings.settle_time
                 self.change_health(now, record, HealthStatus.ABSENT)
 
     def change_health(self, now: float, record: ServerRecord, status: HealthStatus) -> None:
@@ -272,7 +272,7 @@
             group = self.groups.setdefault(f"{record.service} {name}".strip(), HealthGroup(name))
             group.records[record] = None
             record.groups.append(group)
-        record.is_counted = False
+        record.counted_unhealthy = False
         self.unsettled[record] = None
         self.count_unhealthy(record)
 
@@ -280,29 +280,29 @@
         """Removes a server from its groups."""
         for group in record.groups:
             del group.records[record]
-            group.unhealthy -= record.is_counted
-            self.review(group)
+            group.unhealthy -= record.counted_unhealthy
+            self.update_frozen(group)
         record.groups = []
-        record.is_counted = False
+        record.counted_unhealthy = False
 
     def count_unhealthy(self, record: ServerRecord) -> None:
         """Counts a server in its groups, by its health now."""
         is_unhealthy = record.health.is_unhealthy
         for group in record.groups:
-            group.unhealthy += is_unhealthy - record.is_counted
-        record.is_counted = is_unhealthy
+            group.unhealthy += is_unhealthy - record.counted_unhealthy
+        record.counted_unhealthy = is_unhealthy
 
-    def review(self, group: HealthGroup) -> None:
+    def update_frozen(self, group: HealthGroup) -> None:
         """Decides whether the last good set of a group stays in use; a change unsettles its servers."""
-        is_held = group.has_too_few_healthy(self.settings.min_healthy_share)
-        if is_held == group.is_held:
+        is_frozen = group.has_too_few_healthy(self.settings.min_healthy_share)
+        if is_frozen == group.is_frozen:
             return
-        group.is_held = is_held
+        group.is_frozen = is_frozen
         where = f"zone {group.zone}" if group.zone else "all zones"
         healthy = len(group.records) - group.unhealthy
         self.log_lines.append(
             f"consul: {where}: {healthy} of {len(group.records)} healthy: "
-            + ("kept as they were" if is_held else "taken at its word again")
+            + ("kept as they were" if is_frozen else "taken at its word again")
         )
         for record in group.records:
             if record.health.is_unhealthy:
@@ -313,7 +313,7 @@
     def changes(self, now: float) -> list[Change]:
         """What has to change now; called once a tick. Its cost is that of the servers that are unsettled."""
         for group in {group: None for record in self.unsettled for group in record.groups}:
-            self.review(group)
+            self.update_frozen(group)
         found = []
         for record in list(self.unsettled):
             status, unsettled_until = self.status_at(now, record)
@@ -365,18 +365,18 @@
         if not health.absence_uncertain:
             return EndpointStatus.REMOVED, now
         removed_at = health.since + (
-            self.settings.max_hold_time if record.is_held else self.settings.settle_time
+            self.settings.max_frozen_time if record.is_frozen else self.settings.settle_time
         )
         if now >= removed_at:
             return EndpointStatus.REMOVED, now
-        if record.is_held:
+        if record.is_frozen:
             return record.status or EndpointStatus.READY, removed_at
         # A server that is really gone would still get requests until that is certain.
         return EndpointStatus.DRAINING, removed_at
 
     def critical_status(self, now: float, record: ServerRecord) -> tuple[EndpointStatus, float]:
         """As `status_at`: critical has to last before a server drains."""
-        if record.is_held:
+        if record.is_frozen:
             return record.status or EndpointStatus.READY, now
         if record.status is None:
             return EndpointStatus.DRAINING, now
--- a/brambleplank/discovery/consul/source.py
+++ b/brambleplank/discovery/consul/source.py
@@ -24,19 +24,19 @@
 from brambleplank.net.loop import reactor
 from brambleplank.net.proxy import Proxy
 
-TICK = 0.1  # seconds; all that changed within one is applied at once
-MIN_INTERVAL = 0.1  # seconds between two queries of one service; a burst of changes is one answer
+TICK_INTERVAL = 0.1  # seconds; all that changed within one is applied at once
+MIN_QUERY_INTERVAL = 0.1  # seconds between two queries of one service; a burst of changes is one answer
 MIN_PAUSE = 0.25  # seconds before the first retry
 MAX_PAUSE = 5.0  # seconds before any retry
 FAILURES_BEFORE_FAILOVER = 2  # in a row, after which the next agent is asked
-EXTRA_TIME = 2.0  # seconds that an answer may take beyond its wait
-JITTERED_WAIT = 17 / 16  # of the wait: Consul adds up to a sixteenth
-MAX_ANSWER = 64 * 1024**2  # bytes
-MAX_TOKEN = 256  # characters
+RESPONSE_TIMEOUT = 2.0  # seconds that an answer may take beyond its wait
+WAIT_JITTER_FACTOR = 17 / 16  # of the wait: Consul adds up to a sixteenth
+MAX_RESPONSE_SIZE = 64 * 1024**2  # bytes
+MAX_TOKEN_LENGTH = 256  # characters
 MAX_CHANGES_LOGGED = 10  # each on a line of its own
 MAX_UNUSED_LOGGED = 3
 HTTP_OK = 200
-HTTP_REFUSED = (401, 403)
+HTTP_UNAUTHORIZED = (401, 403)
 
 
 @dataclass
@@ -76,7 +76,7 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Keeps a part, or closes the connection of a body that is too long."""
         self.length += len(data)
-        if self.length > MAX_ANSWER:
+        if self.length > MAX_RESPONSE_SIZE:
             self.parts.clear()
             self.transport.loseConnection()
         else:
@@ -86,7 +86,7 @@
         """Passes a whole body on; half of one may be well formed, and ends in an error."""
         done = self.done
         self.done = defer.Deferred()
-        if reason.check(ResponseDone) and self.length <= MAX_ANSWER:
+        if reason.check(ResponseDone) and self.length <= MAX_RESPONSE_SIZE:
             done.callback(b"".join(self.parts))
         else:
             done.errback(reason)
@@ -98,14 +98,14 @@
     def __init__(self, source: ConsulSource, service: str) -> None:
         self.source = source
         self.service = service
-        self.agent = 0  # number of the one that is asked
+        self.agent_number = 0  # number of the one that is asked
         self.index = 0  # to wait at; 0: the answer comes at once
         self.failures = 0  # in a row
         self.outdated_answers = 0  # in a row
         self.decoder = answers.AnswerDecoder(source.settings.metadata_keys)
         self.request: defer.Deferred[Any] | None = None
 
-    def ask(self) -> None:
+    def send_query(self) -> None:
         """Sends the query, unless there is one under way."""
         if self.source.stopped or self.request:
             return
@@ -113,22 +113,22 @@
         request = self.source.agent.request(b"GET", self.url().encode(), self.source.headers())
         self.request = request
         request.addCallback(self.read_response)
-        request.addTimeout((wait * JITTERED_WAIT if self.index else 0) + EXTRA_TIME, reactor)
+        request.addTimeout((wait * WAIT_JITTER_FACTOR if self.index else 0) + RESPONSE_TIMEOUT, reactor)
         request.addCallbacks(self.response_received, self.request_failed)
         request.addErrback(self.exception_raised)
 
     def url(self) -> str:
         """The URL of the query."""
-        asked = self.source.settings
+        settings = self.source.settings
         query: dict[str, str] = {}
         if self.index:
-            query["wait"] = f"{asked.query_wait:g}s"
+            query["wait"] = f"{settings.query_wait:g}s"
             query["index"] = str(self.index)
-        if asked.datacenter:
-            query["dc"] = asked.datacenter
-        if asked.tag:
-            query["tag"] = asked.tag
-        text = urlencode(query) + (f"&{asked.consistency}" if asked.consistency != "default" else "")
+        if settings.datacenter:
+            query["dc"] = settings.datacenter
+        if settings.tag:
+            query["tag"] = settings.tag
+        text = urlencode(query) + (f"&{settings.consistency}" if settings.consistency != "default" else "")
         return f"http://{self.address()}/v1/health/service/{quote(self.service, safe='')}?{text}"
 
     def read_response(self, response: Any) -> defer.Deferred[Response]:
@@ -148,49 +148,49 @@
         if self.source.stopped:
             return
         if response.status != HTTP_OK:
-            self.failed(f"status {response.status}", response.status, response.header("Retry-After"))
+            self.query_failed(f"status {response.status}", response.status, response.header("Retry-After"))
             return
         try:
-            answer = answers.answer(self.agent, response.header, self.failures > 0)
+            metadata = answers.decode_metadata(self.agent_number, response.header, self.failures > 0)
             instances, unused = self.decoder.decode(response.body)
         except answers.MalformedAnswerError as error:
-            self.failed(f"garbled: {error}")
+            self.query_failed(f"garbled: {error}")
             return
         if self.failures:
             self.source.log(f"consul: {self.service}: answered again by {self.address()}")
         self.failures = 0
-        if answer.filtered_by_acls:
+        if metadata.filtered_by_acls:
             unused = [*unused, "the token does not see all of it; what is missing is not taken for gone"]
         self.source.log_unused(self.service, unused)
-        is_fresh = self.source.catalog.answer_received(self.source.now(), self.service, instances, answer)
-        self.source.tick_soon()
-        self.ask_after_answer(answer, is_fresh)
+        is_fresh = self.source.catalog.answer_received(self.source.now(), self.service, instances, metadata)
+        self.source.schedule_tick()
+        self.schedule_next_query(metadata, is_fresh)
 
-    def ask_after_answer(self, answer: QueryMetadata, is_fresh: bool) -> None:
+    def schedule_next_query(self, metadata: QueryMetadata, is_fresh: bool) -> None:
         """Asks again soon; later after outdated answers.
 
         An index that went back, or is 0, is no place to wait at: the next query asks from the beginning. So
         does the one after an outdated answer, which would wait for a change instead of catching up. Without
         a leader no query waits, and each answer would be followed by the next at once.
         """
-        self.index = answer.index if answer.index >= self.index and is_fresh else 0
+        self.index = metadata.index if metadata.index >= self.index and is_fresh else 0
         self.outdated_answers = 0 if is_fresh else self.outdated_answers + 1
-        pause = backoff(self.outdated_answers) if self.outdated_answers else MIN_INTERVAL
-        self.source.later(pause * random.uniform(1.0, 1.2), self.ask)
+        pause = backoff(self.outdated_answers) if self.outdated_answers else MIN_QUERY_INTERVAL
+        self.source.call_later(pause * random.uniform(1.0, 1.2), self.send_query)
 
     def request_failed(self, reason: Failure) -> None:
         """No agent answered, or not in time."""
         self.request = None
         if not self.source.stopped:
-            self.failed(type(reason.value).__name__)
+            self.query_failed(type(reason.value).__name__)
 
     def exception_raised(self, reason: Failure) -> None:
         """Reports an exception of this program; the service is followed all the same."""
         if reason.value is not None:
             self.source.proxy.report_exception(reason.value, reason.getTracebackObject())
-        self.failed(type(reason.value).__name__)
+        self.query_failed(type(reason.value).__name__)
 
-    def failed(self, why: str, status: int = 0, retry_after: str = "") -> None:
+    def query_failed(self, reason: str, status: int = 0, retry_after: str = "") -> None:
         """Asks again after a pause that grows, by chance: asked by all sidecars at once, no agent comes up.
 
         An agent that came back with a lower index would keep a query at the old one waiting for it.
@@ -198,20 +198,20 @@
         self.failures += 1
         self.index = 0
         if self.failures == 1:
-            self.source.log(f"consul: {self.service}: {self.address()}: {why}; the list held stays good")
-        if status in HTTP_REFUSED:
+            self.source.log(f"consul: {self.service}: {self.address()}: {reason}; the list held stays good")
+        if status in HTTP_UNAUTHORIZED:
             self.source.read_token()
         pause = backoff(self.failures) * random.uniform(0.5, 1.0)
         agents = len(self.source.settings.agents)
         if retry_after.isdigit():
             pause = max(pause, min(MAX_PAUSE, float(retry_after)))
         elif self.failures % FAILURES_BEFORE_FAILOVER == 0 and agents > 1:
-            self.agent = (self.agent + 1) % agents
-        self.source.later(pause, self.ask)
+            self.agent_number = (self.agent_number + 1) % agents
+        self.source.call_later(pause, self.send_query)
 
     def address(self) -> str:
         """The address of the agent that is asked."""
-        return addresses.text(self.source.settings.agents[self.agent])
+        return addresses.text(self.source.settings.agents[self.agent_number])
 
     def stop(self) -> None:
         """Cancels the query."""
@@ -237,12 +237,12 @@
         pool = HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = len(settings.services)
         pool.retryAutomatically = False
-        self.agent = Agent.usingEndpointFactory(reactor, DirectEndpointFactory(EXTRA_TIME), pool)
+        self.agent = Agent.usingEndpointFactory(reactor, DirectEndpointFactory(RESPONSE_TIMEOUT), pool)
         self.watches = [ServiceWatch(self, service) for service in settings.services]
         self.token = ""
         self.stopped = False
-        self.following = False
-        self.ticking = False
+        self.started = False
+        self.tick_scheduled = False
         self.logged_unused: dict[str, list[str]] = {}  # by service
         self.read_token()
 
@@ -250,7 +250,7 @@
         """The time of the proxy's clock, in seconds."""
         return self.proxy.clock.now()
 
-    def later(self, delay: float, call: Callable[[], object]) -> None:
+    def call_later(self, delay: float, call: Callable[[], object]) -> None:
         """Calls after so many seconds."""
         self.proxy.clock.call_later(delay, call)
 
@@ -268,10 +268,10 @@
 
     def ensure_watching(self) -> None:
         """Begins to ask."""
-        if not self.following and not self.stopped:
-            self.following = True
+        if not self.started and not self.stopped:
+            self.started = True
             for watch in self.watches:
-                watch.ask()
+                watch.send_query()
 
     def stop(self) -> None:
         """Nothing more is received."""
@@ -285,7 +285,7 @@
             return
         try:
             with Path(self.settings.token_file).open(encoding="ascii") as file:
-                self.token = file.read(MAX_TOKEN).strip()
+                self.token = file.read(MAX_TOKEN_LENGTH).strip()
         except (OSError, UnicodeDecodeError) as error:
             self.log(f"consul: {self.settings.token_file}: {type(error).__name__}; the token held stays")
 
@@ -296,16 +296,16 @@
             for reason in reasons[:MAX_UNUSED_LOGGED]:
                 self.log(f"consul: {service}: {reason}")
 
-    def tick_soon(self) -> None:
+    def schedule_tick(self) -> None:
         """Applies changes in the next iteration of the reactor."""
-        if not self.ticking:
-            self.ticking = True
-            self.later(0, self.tick)
+        if not self.tick_scheduled:
+            self.tick_scheduled = True
+            self.call_later(0, self.tick)
 
     def tick(self) -> None:
         """Applies what has changed, all in one list; again a tick later while something is unsettled."""
         if self.stopped:
-            self.ticking = False
+            self.tick_scheduled = False
             return
         now = self.now()
         changes = self.catalog.changes(now)
@@ -316,9 +316,9 @@
             self.proxy.endpoints_received([change.endpoint for change in changes], changed, False)
             self.log_changes(now, changes)
         if self.catalog.unsettled or changes:
-            self.later(TICK, self.tick)
+            self.call_later(TICK_INTERVAL, self.tick)
         else:
-            self.ticking = False
+            self.tick_scheduled = False
 
     def log_changes(self, now: float, changes: list[Change]) -> None:
         """Logs a line for each change, or one for many."""
@@ -328,6 +328,6 @@
         for change in changes:
             endpoint = change.endpoint
             self.log(
-                f"consul: {endpoint.id} {endpoint.status.value} size={endpoint.size:g} as {change.why} "
-                f"after {now - change.learnt:.3f}"
+                f"consul: {endpoint.id} {endpoint.status.value} size={endpoint.size:g} as {change.cause} "
+                f"after {now - change.reported_at:.3f}"
             )
--- a/brambleplank/discovery/file/server_file.py
+++ b/brambleplank/discovery/file/server_file.py
@@ -158,12 +158,12 @@
 def endpoints_of(servers: list[Server]) -> tuple[list[Endpoint], dict[str, Address]]:
     """Endpoints, and addresses by server, as the proxy takes them; the servers are without fault."""
     endpoints: list[Endpoint] = []
-    found: dict[str, Address] = {}
+    addresses_by_server: dict[str, Address] = {}
     for server in servers:
         started = server.started.timestamp() if server.started else 0.0
         endpoints.append(
             Endpoint(server.name, server.zone, server.cell, STATES[server.state], server.size, started)
         )
         address: Any = addresses.read(server.address)
-        found[server.name] = address
-    return endpoints, found
+        addresses_by_server[server.name] = address
+    return endpoints, addresses_by_server
--- a/brambleplank/discovery/file/source.py
+++ b/brambleplank/discovery/file/source.py
@@ -18,7 +18,7 @@
 from brambleplank.net.proxy import Proxy
 
 MAX_CHECK_INTERVAL = 0.2  # seconds
-SHARE_OF_DRAIN_GRACE = 1 / 4  # a drain counts from the file on, and has to be noticed within its grace
+DRAIN_GRACE_SHARE = 1 / 4  # a drain counts from the file on, and has to be noticed within its grace
 MAX_SIZE = 16 * 1024**2  # bytes; far more than the servers that a sidecar can hold
 
 
@@ -43,19 +43,19 @@
     def __init__(self, proxy: Proxy, path: str, servers: list[server_file.Server] | None = None) -> None:
         self.proxy = proxy
         self.path = path
-        self.interval = min(MAX_CHECK_INTERVAL, SHARE_OF_DRAIN_GRACE * proxy.settings.drain_grace)  # seconds
+        self.interval = min(MAX_CHECK_INTERVAL, DRAIN_GRACE_SHARE * proxy.settings.drain_grace)  # seconds
         self.servers = servers
         self.stamp: FileStamp | None = None  # of what was last read, usable or not
-        self.last_complaint = ""
+        self.last_problem = ""
         self.reading = False
         self.stopped = False
-        self.following = False
+        self.started = False
         self.lists_applied = 0
 
     def ensure_watching(self) -> None:
         """Begins to check. It never gives up, so there is no failure after which to begin again."""
-        if not self.following and not self.stopped:
-            self.following = True
+        if not self.started and not self.stopped:
+            self.started = True
             self.check()
 
     def stop(self) -> None:
@@ -78,7 +78,7 @@
             status = Path(self.path).stat()
         except OSError as error:
             # A file that is being replaced may be missing for a moment, and its servers are not gone.
-            self.complain(f"{self.path}: {error.strerror}")
+            self.log_problem(f"{self.path}: {error.strerror}")
             self.stamp = None
             return
         stamp = FileStamp(status.st_ino, status.st_size, status.st_mtime_ns)
@@ -86,7 +86,7 @@
             return
         if stamp.size > MAX_SIZE:
             self.stamp = stamp
-            self.complain(f"{self.path}: {stamp.size} bytes, over {MAX_SIZE}")
+            self.log_problem(f"{self.path}: {stamp.size} bytes, over {MAX_SIZE}")
             return
         self.reading = True
         content: Any = threads.deferToThreadPool(reactor, reactor.getThreadPool(), self.read)
@@ -112,10 +112,10 @@
         if content.faults:
             others = len(content.faults) - 1
             more = f" (and {others} more)" if others else ""
-            self.complain(f"{self.path}: {content.faults[0]}{more}")
+            self.log_problem(f"{self.path}: {content.faults[0]}{more}")
             return
-        if self.last_complaint:
-            self.last_complaint = ""
+        if self.last_problem:
+            self.last_problem = ""
             self.proxy.log(f"list: {self.path}: good again")
         if content.servers != self.servers:
             self.servers = content.servers
@@ -124,7 +124,7 @@
     def read_failed(self, reason: Failure) -> None:
         """The file could not be read."""
         self.reading = False
-        self.complain(f"{self.path}: {type(reason.value).__name__}")
+        self.log_problem(f"{self.path}: {type(reason.value).__name__}")
 
     def apply(self, servers: list[server_file.Server]) -> None:
         """Notifies the proxy of a list; logs any but the first."""
@@ -135,8 +135,8 @@
             draining = sum(server.state == "draining" for server in servers)
             self.proxy.log(f"list: {self.path}: {len(servers)} servers, {draining} draining")
 
-    def complain(self, why: str) -> None:
+    def log_problem(self, problem: str) -> None:
         """Logs what is wrong once: it is found anew at each check."""
-        if why != self.last_complaint and not self.stopped:
-            self.last_complaint = why
-            self.proxy.log(f"list: kept as it was: {why}")
+        if problem != self.last_problem and not self.stopped:
+            self.last_problem = problem
+            self.proxy.log(f"list: kept as it was: {problem}")
--- a/brambleplank/discovery/platform/discovery.py
+++ b/brambleplank/discovery/platform/discovery.py
@@ -34,11 +34,11 @@
 RETRY_DELAY = 0.1  # seconds between two requests; the agent is on this machine, and answers at no cost
 RESPONSE_TIMEOUT = 0.4  # seconds from a request to a list's first byte, which comes at once or not at all
 HEDGE_SHARE = 1 / 3  # of the drain grace; the rest is left for the answer, and for a stall of this process
-LIST_TIMEOUT = 0.8  # seconds from there to the whole list, and more as its bytes come
+FIRST_LIST_TIMEOUT = 0.8  # seconds from there to the whole list, and more as its bytes come
 MIN_TRANSFER_RATE = 1024 * 1024  # bytes a second of a list that comes from this machine
 LINE_TIMEOUT = 3.0  # seconds without a whole line, where an empty one comes every 2 s
 HTTP_OK = 200
-TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings, and what opens and closes
+TOKEN_PATTERN = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings, and what opens and closes
 
 
 class Watch(LineReceiver):
@@ -56,11 +56,11 @@
     def __init__(self, discovery: Discovery) -> None:
         self.discovery = discovery
         self.lines: list[bytes] = []  # of an indented list that is not complete
-        self.depth = 0  # brackets that are open in them
-        self.length = 0  # bytes of them
+        self.open_brackets = 0  # brackets that are open in them
+        self.list_size = 0  # bytes of them
         self.incomplete_since = 0.0  # when a line or list that is not complete began; 0: there is none
         self.incomplete_bytes = 0
-        self.list_timeout = LIST_TIMEOUT  # for the first list; a change comes in one piece
+        self.first_list_timeout = FIRST_LIST_TIMEOUT  # for the first list; a change comes in one piece
         self.timer: CallAfterReads | None = None  # until the next whole line, or the first byte, is overdue
 
     def start_timer(self, timeout: float) -> None:
@@ -76,7 +76,7 @@
 
     def timed_out(self) -> None:
         """Ends the watch, unless a long list is still arriving; one that drips never ends."""
-        transfer_time = self.list_timeout + self.incomplete_bytes / MIN_TRANSFER_RATE
+        transfer_time = self.first_list_timeout + self.incomplete_bytes / MIN_TRANSFER_RATE
         remaining = self.incomplete_since + transfer_time - self.discovery.proxy.clock.now()
         if self.incomplete_since and remaining > 0:
             self.start_timer(remaining)
@@ -103,35 +103,37 @@
         if self.discovery.watch is not self:
             return
         if not line.strip() and not self.lines:
-            self.completed()
+            self.line_completed()
             self.discovery.heartbeat_received()
             return
-        self.length += len(line)
+        self.list_size += len(line)
         self.lines.append(line)
         # Parsed again at each of its lines, a long indented list would hold up everything else.
-        self.depth += sum((token in b"{[") - (token in b"}]") for token in TOKENS.findall(line))
-        if self.length > self.MAX_LENGTH:
+        self.open_brackets += sum(
+            (token in b"{[") - (token in b"}]") for token in TOKEN_PATTERN.findall(line)
+        )
+        if self.list_size > self.MAX_LENGTH:
             self.discovery.watch_failed("overlong line")
         elif not line.strip():
             self.discovery.watch_failed("garbled: an empty line amid a list")
-        elif self.depth <= 0:
+        elif self.open_brackets <= 0:
             self.list_completed()
 
     def list_completed(self) -> None:
         """Passes a list on, or ends the watch if it is garbled."""
         text = b"\n".join(self.lines)
         self.lines = []
-        self.depth = 0
-        self.length = 0
-        self.completed()
+        self.open_brackets = 0
+        self.list_size = 0
+        self.line_completed()
         try:
             self.discovery.list_received(json.loads(text))
         except (ValueError, RecursionError) as error:
             self.discovery.watch_failed(f"garbled: {error}")
 
-    def completed(self) -> None:
+    def line_completed(self) -> None:
         """A whole line has come, and the next is expected."""
-        self.list_timeout = 0.0
+        self.first_list_timeout = 0.0
         self.start_timer(LINE_TIMEOUT)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802, ARG002
@@ -223,9 +225,9 @@
         self.version: int | None = None  # at this address; None: the whole list is asked for
         self.newest_version = 0  # version of what was applied, wherever it came from
         self.outdated: OutdatedList | None = None  # waits until it is as new as what is held
-        self.moved_at = -inf
+        self.address_changed_at = -inf
         self.requested_at = -inf  # when the request was made that the newest watch answers
-        self.failing = False  # whether that was reported, and no list has come since
+        self.failure_reported = False  # whether that was reported, and no list has come since
         self.requests: list[WatchRequest] = []  # that are out, oldest first
         self.watch: Watch | None = None
 
@@ -243,7 +245,7 @@
         self.stop()
         self.service = DiscoveryService(address)
         self.version = None
-        self.moved_at = self.proxy.clock.now()
+        self.address_changed_at = self.proxy.clock.now()
         self.ensure_watching()
 
     def stop(self) -> None:
@@ -327,13 +329,13 @@
         if request not in self.requests:
             return
         self.requests.remove(request)
-        why = reason if isinstance(reason, str) else type(reason.value).__name__
+        reason_text = reason if isinstance(reason, str) else type(reason.value).__name__
         if self.requests:
-            self.report_failure(why)
+            self.report_failure(reason_text)
         else:
-            self.retry(why)
+            self.schedule_retry(reason_text)
 
-    def retry(self, reason: str) -> None:
+    def schedule_retry(self, reason: str) -> None:
         """Asks again soon.
 
         What the agent has counts as received, and so does soon what a silent watch misses. So the pause
@@ -345,15 +347,15 @@
 
     def report_failure(self, reason: str) -> None:
         """Reports the first of failures in a row."""
-        if not self.failing and not self.is_catching_up():
-            self.failing = True
+        if not self.failure_reported and not self.is_catching_up():
+            self.failure_reported = True
             self.proxy.endpoint_list_failed(reason)
 
     def watch_failed(self, reason: str) -> None:
         """The watch brings no more lists."""
         if self.watch is not None:
             self.close_watch()
-            self.retry(reason)
+            self.schedule_retry(reason)
 
     def list_received(self, encoded: Any) -> None:
         """Applies a list, or changes to the one before. Raises MalformedListError."""
@@ -362,10 +364,10 @@
         update = decode_list(encoded)
         self.check_order(update)
         self.version = update.version
-        self.failing = False
+        self.failure_reported = False
         is_behind = update.version < self.newest_version and self.is_catching_up()
         if self.outdated is not None or is_behind:
-            outdated = self.hold_back(update)
+            outdated = self.defer_update(update)
             if is_behind:
                 return
             update = outdated.as_list(update.version)
@@ -391,9 +393,9 @@
 
     def is_catching_up(self) -> bool:
         """Whether discovery at a new address may still be behind what is held."""
-        return self.proxy.clock.now() < self.moved_at + CATCH_UP_TIME
+        return self.proxy.clock.now() < self.address_changed_at + CATCH_UP_TIME
 
-    def hold_back(self, update: EndpointList) -> OutdatedList:
+    def defer_update(self, update: EndpointList) -> OutdatedList:
         """Keeps a list that is not applied yet, and the changes to it.
 
         At another address an older list may come first; applied, it would bring back servers that are known
@@ -401,12 +403,12 @@
         """
         if self.outdated is None:
             self.outdated = OutdatedList()
-            wait = self.moved_at + CATCH_UP_TIME - self.proxy.clock.now()
-            self.proxy.clock.call_later(wait, self.stop_waiting, self.watch)
+            wait = self.address_changed_at + CATCH_UP_TIME - self.proxy.clock.now()
+            self.proxy.clock.call_later(wait, self.catch_up_expired, self.watch)
         self.outdated.apply(update)
         return self.outdated
 
-    def stop_waiting(self, watch: Watch) -> None:
+    def catch_up_expired(self, watch: Watch) -> None:
         """Still behind after a move: the whole list is asked for again, and applied as it is."""
         if watch is self.watch and self.outdated is not None:
             self.close_watch()
--- a/brambleplank/frontends/line/client_connections.py
+++ b/brambleplank/frontends/line/client_connections.py
@@ -151,7 +151,7 @@
         """Starts an attempt, which times out after `wait` seconds (0: the timeout of resumed sessions)."""
         upstream = LineUpstreamConnection(self.proxy, self, len(self.upstreams), endpoint)
         self.upstreams.append(upstream)
-        upstream.dial(wait)
+        upstream.connect(wait)
 
     def upstream_established(self, upstream: LineUpstreamConnection, line: bytes) -> None:
         """Handles a server's UP: joins both connections and forwards the line to the client."""
--- a/brambleplank/frontends/line/upstream_connections.py
+++ b/brambleplank/frontends/line/upstream_connections.py
@@ -46,7 +46,7 @@
     def sendLine(self, line: bytes) -> object:  # noqa: N802
         """Sends a line to the client."""
 
-    def upstream_established(self, connect: LineUpstreamConnection, line: bytes) -> None:
+    def upstream_established(self, upstream: LineUpstreamConnection, line: bytes) -> None:
         """Handles the UP line of the server."""
 
     def has_ended(self) -> bool:
@@ -76,7 +76,7 @@
         self.timer: DelayedCall | None = None
         self.connector: UpstreamConnector | None = None
 
-    def dial(self, wait: float) -> None:
+    def connect(self, wait: float) -> None:
         """Connects to the server; the attempt times out after `wait` seconds (0: `RESUME_TIMEOUT`)."""
         proxy = self.proxy
         if wait:
--- a/tests/test_consul_health.py
+++ b/tests/test_consul_health.py
@@ -258,7 +258,7 @@
     assert set(story.state.values()) == {READY} and len(story.state) == 4
     assert not story.catalog.unsettled
     for group in story.catalog.groups.values():
-        assert group.unhealthy == 0 and not group.is_held
+        assert group.unhealthy == 0 and not group.is_frozen
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
@@ -280,11 +280,11 @@
     follower: Any = SimpleNamespace(
         settings=SimpleNamespace(agents=[("127.0.0.1", 8500)], metadata_keys=answers.MetadataKeys()),
         log=lambda _: None,
-        later=lambda pause, _: pauses.append(pause),
+        call_later=lambda pause, _: pauses.append(pause),
     )
     watch = ServiceWatch(follower, "feeds")
     for _ in range(5000):
-        watch.failed("ConnectionRefusedError")
+        watch.query_failed("ConnectionRefusedError")
     assert len(pauses) == 5000 and max(pauses) <= MAX_PAUSE
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -236,11 +236,11 @@
     patch = """
 import time
 from brambleplank.frontends.line.upstream_connections import LineUpstreamConnection
-dial = LineUpstreamConnection.dial
+connect = LineUpstreamConnection.connect
 def stall(self, wait):
-    dial(self, wait)
+    connect(self, wait)
     time.sleep(0.2)  # more than a connection may take to come up
-LineUpstreamConnection.dial = stall
+LineUpstreamConnection.connect = stall
 """
     program = start_program(server_list(StandInServer()), patch=patch)
     assert program.open_request().read_line() == "UP r1"
