--- a/brambleplank/discovery/__init__.py
+++ b/brambleplank/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of servers comes from, one package each; none knows another."""
+"""Sources of the endpoint list: one package each, independent of the others."""
--- a/brambleplank/discovery/consul/__init__.py
+++ b/brambleplank/discovery/consul/__init__.py
@@ -1,1 +1,1 @@
-"""The list of servers from Consul: its catalogue and its health, over its HTTP API."""
+"""Endpoints from Consul's catalog and health checks, over its HTTP API."""
--- a/brambleplank/discovery/consul/answers.py
+++ b/brambleplank/discovery/consul/answers.py
@@ -1,6 +1,6 @@
-"""Consul's answers on a service, decoded: only what the list needs is read. Free of I/O.
+"""Decodes Consul's answers about a service, as far as the endpoint list needs them. Free of I/O.
 
-Source: the published HTTP API, `/v1/health/service/:service` and its blocking queries.
+Implements the published HTTP API: `/v1/health/service/:service` and blocking queries.
 """
 
 from __future__ import annotations
@@ -15,35 +15,35 @@
 from brambleplank.errors import BrambleplankError
 
 NODE_MAINTENANCE = "_node_maintenance"
-SERVICE_MAINTENANCE = "_service_maintenance:"  # and the service
-SERVER_NAME = re.compile(r"[!-~]{1,128}")  # what log lines can carry
+SERVICE_MAINTENANCE = "_service_maintenance:"  # followed by the service id
+SERVER_NAME = re.compile(r"[!-~]{1,128}")  # what log lines can hold
 CHECK_STATUSES = {
     "passing": HealthStatus.PASSING,
     "warning": HealthStatus.WARNING,
     "critical": HealthStatus.CRITICAL,
 }
-MAX_SIZE = 100.0  # times the usual size
-MAX_NUMBER = 1e12  # in metadata; above every Unix time in seconds
+MAX_SIZE = 100.0  # relative to the usual size of 1; the minimum is 1 / MAX_SIZE
+MAX_NUMBER = 1e12  # upper bound of numbers in metadata; above any Unix time in seconds
 DRAINING = "draining"
 MS_PER_SECOND = 1000
 
 
 class Node(msgspec.Struct, rename="pascal"):
-    """The machine of a server."""
+    """The node that a service instance runs on."""
 
     node: str
     address: str = ""
 
 
 class Weights(msgspec.Struct, rename="pascal"):
-    """How much a server bears, by its health."""
+    """The weights of a service instance by its health."""
 
     passing: int = 1
     warning: int = 1
 
 
 class Service(msgspec.Struct, rename="pascal"):
-    """A server, as it is registered."""
+    """A registered service instance."""
 
     id: str = msgspec.field(name="ID")
     address: str = ""
@@ -53,14 +53,14 @@
 
 
 class Check(msgspec.Struct, rename="pascal"):
-    """One health check of a server, or of its machine."""
+    """A health check of a service instance or of its node."""
 
     status: str
     check_id: str = msgspec.field(name="CheckID", default="")
 
 
 class Item(msgspec.Struct, rename="pascal"):
-    """One server in an answer."""
+    """One entry of an answer: a service instance, its node and its checks."""
 
     node: Node
     service: Service
@@ -68,19 +68,19 @@
 
 
 class MetadataKeys(msgspec.Struct, forbid_unknown_fields=True):
-    """The names under which `Meta` holds what the list needs."""
+    """The keys of `Meta` that hold an instance's zone, cell, size, start time and state."""
 
     zone: str = "zone"
     cell: str = "cell"
     size: str = "size"
     started: str = "started"  # Unix seconds
-    state: str = "state"  # whose value "draining" drains, as maintenance does
+    state: str = "state"  # the value "draining" drains the server, as maintenance mode does
 
 
 class MalformedAnswerError(BrambleplankError, ValueError):
-    """Not an answer on a service."""
+    """A malformed answer to a query."""
 
-    ADVICE = "ask that agent by hand for the same path; the next agent is asked meanwhile"
+    ADVICE = "query the same path of that agent by hand; the proxy retries, also at other agents"
 
 
 RAW_ITEMS_DECODER: msgspec.json.Decoder[list[msgspec.Raw]] = msgspec.json.Decoder(list[msgspec.Raw])
@@ -88,18 +88,18 @@
 
 
 class AnswerDecoder:
-    """Decodes answers on one service; a server that is encoded as before costs one look-up.
+    """Decodes answers about one service, and caches decoded instances by their encoded form.
 
-    An answer always holds all of a service, however little has changed; decoded as a whole, thousands of
-    servers would cost more than all requests.
+    An answer always holds all instances of a service, however few have changed. Without the cache, decoding
+    thousands of instances each time would use more CPU than all requests.
     """
 
     def __init__(self, keys: MetadataKeys) -> None:
         self.keys = keys
-        self.previous: dict[bytes, Instance | str] = {}  # by encoded server: it, or why it cannot be used
+        self.previous: dict[bytes, Instance | str] = {}  # by encoded form; a text says why it is unusable
 
     def decode(self, body: bytes) -> tuple[list[Instance], list[str]]:
-        """The servers of an answer, and why others cannot be used. Raises MalformedAnswerError."""
+        """Returns the usable instances, and a text for each unusable one. Raises MalformedAnswerError."""
         decoded: dict[bytes, Instance | str] = {}
         try:
             for raw in RAW_ITEMS_DECODER.decode(body):
@@ -115,7 +115,7 @@
 
 
 def decode_instance(item: Item, keys: MetadataKeys) -> Instance | str:
-    """One server, or why it cannot be used."""
+    """Decodes one instance; returns a text with the reason if it is unusable."""
     name = f"{item.node.node}/{item.service.id}"
     host = item.service.address or item.node.address
     port = item.service.port
@@ -136,7 +136,7 @@
 
 
 def health_of(item: Item, state: str) -> HealthStatus:
-    """The worst health of a server's checks; maintenance goes before all."""
+    """Returns the worst status of an instance's checks; maintenance takes precedence over all."""
     worst = HealthStatus.PASSING
     for check in item.checks:
         if check.check_id == NODE_MAINTENANCE or check.check_id.startswith(SERVICE_MAINTENANCE):
@@ -150,7 +150,7 @@
 
 
 def size_of(item: Item, health: HealthStatus, size: float) -> float:
-    """A server's size by its weights: with a warning it bears less."""
+    """Returns an instance's size; with a warning it is scaled by the ratio of its weights."""
     weights = item.service.weights or Weights()
     if health is HealthStatus.WARNING:
         size *= max(0, weights.warning) / max(1, weights.passing)
@@ -158,7 +158,7 @@
 
 
 def parse_number(text: str, default: float) -> float:
-    """A number in metadata; the default for what is none, or out of range."""
+    """Parses a number in metadata; returns the default if it is malformed or out of range."""
     try:
         value = float(text)
     except ValueError:
@@ -167,7 +167,7 @@
 
 
 def decode_metadata(agent: int, header: Callable[[str], str], after_failure: bool) -> QueryMetadata:
-    """What the headers of an answer say; `header` gives the text of one, "" if it is not there.
+    """Decodes the headers of an answer; `header` returns the value of one, "" if it is missing.
 
     Raises MalformedAnswerError.
     """
@@ -175,7 +175,7 @@
         index = int(header("X-Consul-Index"))
         last_contact = int(header("X-Consul-LastContact") or 0) / MS_PER_SECOND
     except ValueError:
-        raise MalformedAnswerError("no index in the answer") from None
+        raise MalformedAnswerError("X-Consul-Index or X-Consul-LastContact is not a number") from None
     return QueryMetadata(
         agent=agent,
         index=max(0, index),
--- a/brambleplank/discovery/consul/health.py
+++ b/brambleplank/discovery/consul/health.py
@@ -1,16 +1,21 @@
-"""What the health that Consul reports of a server means for the endpoint list. Free of I/O and of wall time.
-
-Consul reports more than "a process runs", but reports flap, lag, and can be wrong of many servers at once:
-
-- **Maintenance is a drain**, never damped, whichever agent reports it; only a fresh report of that index or
-  a newer one lifts it.
-- **Absence** removes a server at once. In an answer that follows a failure, a change of agent or an index
-  that went back it is uncertain: nothing new goes there, and the server is removed once that has lasted.
-- **Critical** ends new requests once it has lasted; passing has to last too, twice as long after each flap.
-- **Too many at once** critical, or absent and uncertain, is evidence only: below a share of healthy servers,
-  in a zone or over all, the last good set stays in use, and that is logged. What connections show still
-  counts, in the decisions. A certain absence is no failure of health, however many servers it concerns.
-- **Outdated answers** (behind the newest index, no leader, long without contact) may add drains only.
+"""Translates the health that Consul reports into changes of the endpoint list. Free of I/O and wall time.
+
+Consul's health checks cover more than a running process, but reports flap and lag, and can be wrong for many
+servers at once:
+
+- **Maintenance** drains a server immediately, whichever agent reports it, and is never damped. Only a fresh
+  answer ends the drain, and until `CATCH_UP_TIME` has passed, only one with the same index or a newer one.
+- **Absence** removes a server immediately. It is uncertain within the settle time after a failure, a change
+  of agent or an index that went back: then the server gets no new requests, and is removed once the absence
+  has lasted for the settle time.
+- **Critical** drains a server after the settle time. To become ready again, the server must pass for the
+  recovery time, which doubles with each flap.
+- **Too many unhealthy servers** (critical, or absent and uncertain) are not believed: if the share of healthy
+  servers in a zone or in all zones is too low, the group is frozen, i.e. its last good set stays in use, and
+  this is logged. The outcomes of connections still count in the decisions. A certain absence never counts as
+  unhealthy, however many servers are absent.
+- **Outdated answers** (index behind the newest one, no leader, or too long without contact to it) may only
+  add drains.
 """
 
 from __future__ import annotations
@@ -22,12 +27,12 @@
 from brambleplank.backoff import exponential_backoff
 from brambleplank.model import Address, Endpoint, EndpointStatus
 
-MIN_GROUP_SIZE = 3  # servers; of fewer, one says nothing about the others
-CATCH_UP_TIME = 2.5  # seconds in which an agent that is behind may catch up; then its index is believed
+MIN_GROUP_SIZE = 3  # servers; smaller groups are never frozen, as one server says nothing about the others
+CATCH_UP_TIME = 2.5  # seconds that a lagging agent has to catch up; after that its lower index is accepted
 
 
 class HealthStatus(Enum):
-    """The health that Consul reports of one server."""
+    """The health that Consul reports for a server."""
 
     PASSING = "passing"
     WARNING = "warning"
@@ -41,20 +46,20 @@
 
 @dataclass(frozen=True)
 class HealthSettings:
-    """How reports are damped; all in seconds but the share of healthy servers."""
+    """How health reports are damped; times are in seconds."""
 
-    settle_time: float = 1.0  # for so long critical must last before it counts
-    recovery_time: float = 1.0  # for so long passing must last after that, doubled at each further flap
-    max_recovery_time: float = 30.0  # at most so long
-    flap_memory: float = 60.0  # a flap is forgotten after so long
-    min_healthy_share: float = 0.5  # share of healthy servers below which the last good set stays in use
-    max_staleness: float = 5.0  # without contact to the leader; beyond that an answer is outdated
-    max_frozen_time: float = 60.0  # for so long a set that is absent and uncertain as a whole stays in use
+    settle_time: float = 1.0  # how long critical or an uncertain absence must last before it takes effect
+    recovery_time: float = 1.0  # how long passing must last after a flap; doubles with each further flap
+    max_recovery_time: float = 30.0  # upper bound of the doubled recovery time
+    flap_memory: float = 60.0  # flaps are forgotten if the last one is longer ago
+    min_healthy_share: float = 0.5  # below it a group is frozen
+    max_staleness: float = 5.0  # since the agent's last contact to the leader; older answers are outdated
+    max_frozen_time: float = 60.0  # how long uncertainly absent servers of a frozen group stay in use
 
 
 @dataclass(frozen=True)
 class Instance:
-    """One server, as an answer has it."""
+    """One server, as decoded from an answer."""
 
     id: str
     address: Address
@@ -67,43 +72,43 @@
 
 @dataclass(frozen=True)
 class QueryMetadata:
-    """What an answer says of itself; times in seconds."""
+    """The metadata of an answer; times are in seconds."""
 
-    agent: int  # the number of the agent that gave it
+    agent: int  # number of the agent that answered
     index: int
     known_leader: bool = True
     last_contact: float = 0.0
-    filtered_by_acls: bool = False  # whether the token hides some of it
-    after_failure: bool = False  # whether it is the first after a failure
+    filtered_by_acls: bool = False  # the token's ACLs hide some of the servers
+    after_failure: bool = False  # the query before it failed
 
 
 @dataclass(frozen=True)
 class Change:
-    """One change of the endpoint list, and its cause."""
+    """A change of one endpoint, with its cause for the log."""
 
     endpoint: Endpoint
     address: Address
     cause: str  # the reported health
-    reported_at: float  # when that was reported
+    reported_at: float  # when it was first reported
 
 
 class HealthGroup:
-    """The servers of a service in one zone, or in all: how many of them are healthy."""
+    """The servers of a service in one zone or in all zones, with a count of the unhealthy ones."""
 
     def __init__(self, zone: str) -> None:
         self.zone = zone  # empty: all zones
         self.records: dict[ServerRecord, None] = {}
         self.unhealthy = 0
-        self.is_frozen = False  # whether the last good set stays in use
+        self.is_frozen = False  # the last good set stays in use
 
     def has_too_few_healthy(self, min_share: float) -> bool:
-        """Whether too many are unhealthy at once: one broken check would empty a zone that serves well."""
+        """Whether too few are healthy to act on it: one faulty check could empty a zone that serves well."""
         size = len(self.records)
         return size >= MIN_GROUP_SIZE and size - self.unhealthy < min_share * size
 
 
 class ServerRecord:
-    """One server: what was reported of it, and what the proxy was notified of."""
+    """One server: what Consul reported, and what the proxy was notified of."""
 
     def __init__(self, service: str, instance: Instance, now: float) -> None:
         self.service = service
@@ -112,60 +117,60 @@
         self.notified: tuple[Endpoint, Address] | None = None
         self.flaps = 0
         self.flapped_at = -inf
-        self.drain_index = 0  # of the answer that reported the drain
+        self.drain_index = 0  # newest index of an answer that reported maintenance
         self.groups: list[HealthGroup] = []
-        self.counted_unhealthy = False  # whether its groups count it as unhealthy
+        self.counted_unhealthy = False  # its groups count it as unhealthy
 
     @property
     def status(self) -> EndpointStatus | None:
-        """What the proxy was notified of, if anything."""
+        """The status that the proxy was notified of last; None before the first notification."""
         return self.notified[0].status if self.notified else None
 
     @property
     def is_frozen(self) -> bool:
-        """Whether its last good status stays, as too many others are unhealthy."""
+        """Whether any of its groups is frozen, so that its last status stays in use."""
         return any(group.is_frozen for group in self.groups)
 
 
 class HealthRecord:
-    """The reported health of one server."""
+    """The reported health of a server, and since when."""
 
     def __init__(self, status: HealthStatus, now: float) -> None:
         self.status = status
         self.previous = status
         self.since = now
-        self.absence_uncertain = False  # whether it was reported right after a failure
+        self.absence_uncertain = False  # reported after a failure or another disruption
 
     def update(self, status: HealthStatus, now: float) -> None:
-        """Records another health."""
+        """Records a new status."""
         self.previous = self.status
         self.status = status
         self.since = now
 
     @property
     def is_unhealthy(self) -> bool:
-        """Whether it counts against its groups."""
+        """Whether the server counts as unhealthy in its groups."""
         return self.status is HealthStatus.CRITICAL or (
             self.status is HealthStatus.ABSENT and self.absence_uncertain
         )
 
 
 class ServiceProgress:
-    """How far the answers on one service have come."""
+    """The state of the answers about one service."""
 
     def __init__(self) -> None:
         self.agent = -1
         self.newest_index = 0
-        self.behind_since: float | None = None  # when answers began to be behind the newest index
-        self.disrupted_at = -inf  # when answers failed, the agent changed, or its index went back
+        self.behind_since: float | None = None  # when answers fell behind the newest index
+        self.disrupted_at = -inf  # last failure, change of agent, or index that went back
         self.records: dict[str, ServerRecord] = {}
 
     def accept(self, now: float, metadata: QueryMetadata, max_staleness: float) -> bool:
-        """Whether an answer is fresh; what is not may only add drains."""
+        """Records the metadata of an answer and returns whether it is fresh; others may only add drains."""
         is_fresh = metadata.known_leader and metadata.last_contact <= max_staleness
         if metadata.index < self.newest_index:
-            # Another agent, or a restored one, may be behind; accepted as it is, it would bring back servers
-            # that are known to drain. If it stays behind, its index counts otherwise, and is believed.
+            # Another agent, or a restored one, may lag behind, and its answer would undo known drains. If it
+            # stays behind for `CATCH_UP_TIME`, its indexes are independent of the old ones: accept them.
             if self.behind_since is None:
                 self.behind_since = now
             is_fresh = is_fresh and now >= self.behind_since + CATCH_UP_TIME
@@ -179,27 +184,31 @@
 
 
 class Catalog:
-    """All that was reported, and what the proxy is to be notified of."""
+    """Collects all reports, and derives the changes that the proxy must be notified of."""
 
     def __init__(self, settings: HealthSettings) -> None:
         self.settings = settings
         self.services: dict[str, ServiceProgress] = {}
-        self.unsettled: dict[ServerRecord, None] = {}  # those whose status may have to change
+        self.unsettled: dict[ServerRecord, None] = {}  # to be evaluated at the next tick
         self.groups: dict[str, HealthGroup] = {}
         self.log_lines: list[str] = []  # for operators
 
     def take_log_lines(self) -> list[str]:
-        """Returns the lines for operators since the last call."""
+        """Returns the log lines added since the last call, and clears them."""
         lines = self.log_lines
         self.log_lines = []
         return lines
 
-    # What answers report.
+    # Reports.
 
     def answer_received(
         self, now: float, name: str, instances: list[Instance], metadata: QueryMetadata
     ) -> bool:
-        """An answer on a service; False if it was outdated, and only its drains count: ask again soon."""
+        """Applies an answer about a service.
+
+        Returns False if the answer is outdated: then only its drains were applied, and the query should be
+        repeated soon.
+        """
         service = self.services.setdefault(name, ServiceProgress())
         is_fresh = service.accept(now, metadata, self.settings.max_staleness)
         for instance in instances:
@@ -211,13 +220,13 @@
                 self.update(now, record, instance, metadata, is_fresh)
             elif instance.status is HealthStatus.MAINTENANCE:
                 record.drain_index = max(record.drain_index, metadata.index)
-        # What a token with fewer rights does not see would look deregistered.
+        # Servers that the token's ACLs hide would look deregistered.
         if is_fresh and not metadata.filtered_by_acls:
             self.mark_absent(now, service, {instance.id for instance in instances})
         return is_fresh
 
     def add(self, now: float, name: str, instance: Instance, metadata: QueryMetadata) -> None:
-        """A server that is new."""
+        """Adds a new server."""
         record = ServerRecord(name, instance, now)
         self.services[name].records[instance.id] = record
         self.join_groups(record)
@@ -227,7 +236,7 @@
     def update(
         self, now: float, record: ServerRecord, instance: Instance, metadata: QueryMetadata, is_fresh: bool
     ) -> None:
-        """Another health, address, size or zone of a known server."""
+        """Updates the health, address, size or zone of a known server."""
         health = record.health
         if instance.status is HealthStatus.MAINTENANCE:
             record.drain_index = max(record.drain_index, metadata.index)
@@ -236,7 +245,7 @@
             and metadata.index < record.drain_index
             and now < health.since + CATCH_UP_TIME
         ):
-            return  # an older report would lift a drain, or undo what a newer one said
+            return  # an older report must not end a drain or undo a newer report
         if is_fresh and instance != record.instance:
             has_moved = instance.zone != record.instance.zone
             if has_moved:
@@ -249,7 +258,7 @@
             self.change_health(now, record, instance.status)
 
     def mark_absent(self, now: float, service: ServiceProgress, present: set[str]) -> None:
-        """Servers that are not in a fresh answer."""
+        """Marks the servers that are missing from a fresh answer as absent."""
         if len(present) >= len(service.records):
             return
         for server_id, record in list(service.records.items()):
@@ -258,7 +267,7 @@
                 self.change_health(now, record, HealthStatus.ABSENT)
 
     def change_health(self, now: float, record: ServerRecord, status: HealthStatus) -> None:
-        """Another health was reported of a server."""
+        """Records a new health status of a server."""
         record.health.update(status, now)
         self.unsettled[record] = None
         self.count_unhealthy(record)
@@ -266,7 +275,7 @@
     # Groups.
 
     def join_groups(self, record: ServerRecord) -> None:
-        """Adds a server to the group of its service, and to that of its zone there."""
+        """Adds a server to the group of its service, and to the one of its zone in that service."""
         zone = record.instance.zone
         for name in ("", zone) if zone else ("",):
             group = self.groups.setdefault(f"{record.service} {name}".strip(), HealthGroup(name))
@@ -286,14 +295,14 @@
         record.counted_unhealthy = False
 
     def count_unhealthy(self, record: ServerRecord) -> None:
-        """Counts a server in its groups, by its health now."""
+        """Updates the unhealthy counts of a server's groups after a change of its health."""
         is_unhealthy = record.health.is_unhealthy
         for group in record.groups:
             group.unhealthy += is_unhealthy - record.counted_unhealthy
         record.counted_unhealthy = is_unhealthy
 
     def update_frozen(self, group: HealthGroup) -> None:
-        """Decides whether the last good set of a group stays in use; a change unsettles its servers."""
+        """Freezes or unfreezes a group; a change makes its unhealthy servers unsettled."""
         is_frozen = group.has_too_few_healthy(self.settings.min_healthy_share)
         if is_frozen == group.is_frozen:
             return
@@ -302,16 +311,16 @@
         healthy = len(group.records) - group.unhealthy
         self.log_lines.append(
             f"consul: {where}: {healthy} of {len(group.records)} healthy: "
-            + ("kept as they were" if is_frozen else "taken at its word again")
+            + ("last good set stays in use" if is_frozen else "health reports applied again")
         )
         for record in group.records:
             if record.health.is_unhealthy:
                 self.unsettled[record] = None
 
-    # What the proxy is notified of.
+    # Changes.
 
     def changes(self, now: float) -> list[Change]:
-        """What has to change now; called once a tick. Its cost is that of the servers that are unsettled."""
+        """Returns the changes that are due; called once per tick. Only unsettled servers cost time."""
         for group in {group: None for record in self.unsettled for group in record.groups}:
             self.update_frozen(group)
         found = []
@@ -327,15 +336,15 @@
         return found
 
     def remove(self, record: ServerRecord) -> None:
-        """Forgets a server."""
+        """Removes a server."""
         self.leave_groups(record)
         self.unsettled.pop(record, None)
         self.services[record.service].records.pop(record.instance.id, None)
 
     def status_at(self, now: float, record: ServerRecord) -> tuple[EndpointStatus, float]:
-        """The status that a server is to have, and until when that may change without a report.
+        """Returns the status of a server, and when that has to be evaluated again.
 
-        A time that is not after `now` means that it is settled.
+        A time that is not after `now` means that the status is settled until the next report.
         """
         health = record.health.status
         if health is HealthStatus.MAINTENANCE:
@@ -347,7 +356,7 @@
         return self.critical_status(now, record)
 
     def healthy_status(self, now: float, record: ServerRecord) -> tuple[EndpointStatus, float]:
-        """As `status_at`: after flaps, passing has to last before a server is ready again."""
+        """Implements `status_at`: after flaps, a server must pass for the recovery time to become ready."""
         health = record.health
         is_drained = record.status is EndpointStatus.DRAINING
         if not is_drained or health.previous is HealthStatus.MAINTENANCE or not record.flaps:
@@ -360,7 +369,7 @@
         return (EndpointStatus.READY, now) if now >= ready_at else (EndpointStatus.DRAINING, ready_at)
 
     def absent_status(self, now: float, record: ServerRecord) -> tuple[EndpointStatus, float]:
-        """As `status_at`: an uncertain absence has to last before the server is removed."""
+        """Implements `status_at`: an uncertain absence must last before the server is removed."""
         health = record.health
         if not health.absence_uncertain:
             return EndpointStatus.REMOVED, now
@@ -371,11 +380,11 @@
             return EndpointStatus.REMOVED, now
         if record.is_frozen:
             return record.status or EndpointStatus.READY, removed_at
-        # A server that is really gone would still get requests until that is certain.
+        # If the server is really gone, it must not get requests until the absence is certain.
         return EndpointStatus.DRAINING, removed_at
 
     def critical_status(self, now: float, record: ServerRecord) -> tuple[EndpointStatus, float]:
-        """As `status_at`: critical has to last before a server drains."""
+        """Implements `status_at`: critical must last before a known server drains."""
         if record.is_frozen:
             return record.status or EndpointStatus.READY, now
         if record.status is None:
@@ -384,7 +393,7 @@
         return (EndpointStatus.DRAINING, now) if now >= drained_at else (record.status, drained_at)
 
     def change(self, now: float, record: ServerRecord, status: EndpointStatus) -> Change | None:
-        """What to notify the proxy of, if that differs from the last."""
+        """Returns the change to notify the proxy of; None if nothing differs from the last notification."""
         instance = record.instance
         endpoint = Endpoint(
             instance.id, instance.zone, instance.cell, status, instance.size, instance.started
@@ -399,7 +408,7 @@
         return Change(endpoint, instance.address, record.health.status.value, record.health.since)
 
     def count_flap(self, now: float, record: ServerRecord) -> None:
-        """A server drains as it is critical: that is a flap if it was ready."""
+        """Counts a flap when a ready server drains because it is critical."""
         if record.status is not EndpointStatus.READY:
             return
         if now > record.flapped_at + self.settings.flap_memory:
--- a/brambleplank/discovery/consul/source.py
+++ b/brambleplank/discovery/consul/source.py
@@ -1,4 +1,7 @@
-"""Follows services in Consul: one blocking query a service, at one agent of several, applied once a tick."""
+"""Follows services in Consul with one blocking query per service, and applies changes once per tick.
+
+Each query goes to one of several agents and fails over to the next.
+"""
 
 from __future__ import annotations
 
@@ -24,16 +27,16 @@
 from brambleplank.net.loop import reactor
 from brambleplank.net.proxy import Proxy
 
-TICK_INTERVAL = 0.1  # seconds; all that changed within one is applied at once
-MIN_QUERY_INTERVAL = 0.1  # seconds between two queries of one service; a burst of changes is one answer
-MIN_PAUSE = 0.25  # seconds before the first retry
-MAX_PAUSE = 5.0  # seconds before any retry
-FAILURES_BEFORE_FAILOVER = 2  # in a row, after which the next agent is asked
-RESPONSE_TIMEOUT = 2.0  # seconds that an answer may take beyond its wait
-WAIT_JITTER_FACTOR = 17 / 16  # of the wait: Consul adds up to a sixteenth
+TICK_INTERVAL = 0.1  # seconds; all changes within a tick are applied together
+MIN_QUERY_INTERVAL = 0.1  # seconds between two queries of a service; a burst of changes comes in one answer
+MIN_PAUSE = 0.25  # seconds before the first retry, before jitter
+MAX_PAUSE = 5.0  # upper bound of the seconds before any retry
+FAILURES_BEFORE_FAILOVER = 2  # in a row, after which the next agent is queried
+RESPONSE_TIMEOUT = 2.0  # seconds to connect, and that an answer may take beyond the wait of its query
+WAIT_JITTER_FACTOR = 17 / 16  # Consul adds a jitter of up to wait / 16
 MAX_RESPONSE_SIZE = 64 * 1024**2  # bytes
 MAX_TOKEN_LENGTH = 256  # characters
-MAX_CHANGES_LOGGED = 10  # each on a line of its own
+MAX_CHANGES_LOGGED = 10  # on a line each; more are logged as a count
 MAX_UNUSED_LOGGED = 3
 HTTP_OK = 200
 HTTP_UNAUTHORIZED = (401, 403)
@@ -41,13 +44,13 @@
 
 @dataclass
 class ConsulSettings:
-    """What is queried, and from whom."""
+    """The agents and services to query, and the parameters of the queries."""
 
     agents: list[Address]
     services: list[str]
     datacenter: str = ""
     tag: str = ""
-    consistency: str = "default"  # or "stale", "consistent"
+    consistency: str = "default"  # "default", "stale" or "consistent"
     query_wait: float = 30.0  # seconds that a query waits for a change
     token_file: str = ""
     metadata_keys: answers.MetadataKeys = field(default_factory=answers.MetadataKeys)
@@ -56,15 +59,15 @@
 
 @dataclass(frozen=True)
 class Response:
-    """A whole response of an agent."""
+    """A complete HTTP response of an agent."""
 
     status: int
-    header: Callable[[str], str]  # the text of a header, "" if it is not there
+    header: Callable[[str], str]  # returns the value of a header, "" if it is missing
     body: bytes
 
 
 class ResponseBody(Protocol):
-    """The body of a response, of at most `MAX_ANSWER` bytes."""
+    """Collects the body of a response, up to `MAX_RESPONSE_SIZE` bytes."""
 
     transport: Any = None
 
@@ -74,7 +77,7 @@
         self.length = 0
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Keeps a part, or closes the connection of a body that is too long."""
+        """Collects a part, or closes the connection if the body is too large."""
         self.length += len(data)
         if self.length > MAX_RESPONSE_SIZE:
             self.parts.clear()
@@ -83,7 +86,7 @@
             self.parts.append(data)
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override] # noqa: N802
-        """Passes a whole body on; half of one may be well formed, and ends in an error."""
+        """Passes a complete body on. A truncated one is an error, as it might still decode."""
         done = self.done
         self.done = defer.Deferred()
         if reason.check(ResponseDone) and self.length <= MAX_RESPONSE_SIZE:
@@ -93,20 +96,20 @@
 
 
 class ServiceWatch:
-    """The blocking query of one service, asked again after each answer."""
+    """The blocking query of one service, repeated after each answer."""
 
     def __init__(self, source: ConsulSource, service: str) -> None:
         self.source = source
         self.service = service
-        self.agent_number = 0  # number of the one that is asked
-        self.index = 0  # to wait at; 0: the answer comes at once
+        self.agent_number = 0  # number of the agent that is queried
+        self.index = 0  # of the blocking query; 0: the agent answers immediately
         self.failures = 0  # in a row
         self.outdated_answers = 0  # in a row
         self.decoder = answers.AnswerDecoder(source.settings.metadata_keys)
         self.request: defer.Deferred[Any] | None = None
 
     def send_query(self) -> None:
-        """Sends the query, unless there is one under way."""
+        """Sends the query, unless one is pending."""
         if self.source.stopped or self.request:
             return
         wait = self.source.settings.query_wait
@@ -118,7 +121,7 @@
         request.addErrback(self.exception_raised)
 
     def url(self) -> str:
-        """The URL of the query."""
+        """Returns the URL of the query."""
         settings = self.source.settings
         query: dict[str, str] = {}
         if self.index:
@@ -143,7 +146,7 @@
         return done.addCallback(lambda content: Response(response.code, header, content))
 
     def response_received(self, response: Response) -> None:
-        """Applies an answer, and asks again."""
+        """Applies an answer and schedules the next query."""
         self.request = None
         if self.source.stopped:
             return
@@ -160,18 +163,19 @@
             self.source.log(f"consul: {self.service}: answered again by {self.address()}")
         self.failures = 0
         if metadata.filtered_by_acls:
-            unused = [*unused, "the token does not see all of it; what is missing is not taken for gone"]
+            unused = [*unused, "the token's ACLs hide some servers; missing servers are not removed"]
         self.source.log_unused(self.service, unused)
         is_fresh = self.source.catalog.answer_received(self.source.now(), self.service, instances, metadata)
         self.source.schedule_tick()
         self.schedule_next_query(metadata, is_fresh)
 
     def schedule_next_query(self, metadata: QueryMetadata, is_fresh: bool) -> None:
-        """Asks again soon; later after outdated answers.
+        """Schedules the next query, with backoff after outdated answers.
 
-        An index that went back, or is 0, is no place to wait at: the next query asks from the beginning. So
-        does the one after an outdated answer, which would wait for a change instead of catching up. Without
-        a leader no query waits, and each answer would be followed by the next at once.
+        As Consul's API requires, an index that went back or is 0 is reset, and the next query does not block.
+        Nor does a query after an outdated answer, as it would wait for a change instead of catching up.
+        Backoff is needed because queries do not block while the cluster has no leader: without it, they would
+        follow each other immediately.
         """
         self.index = metadata.index if metadata.index >= self.index and is_fresh else 0
         self.outdated_answers = 0 if is_fresh else self.outdated_answers + 1
@@ -179,26 +183,28 @@
         self.source.call_later(pause * random.uniform(1.0, 1.2), self.send_query)
 
     def request_failed(self, reason: Failure) -> None:
-        """No agent answered, or not in time."""
+        """Handles a query that failed or timed out."""
         self.request = None
         if not self.source.stopped:
             self.query_failed(type(reason.value).__name__)
 
     def exception_raised(self, reason: Failure) -> None:
-        """Reports an exception of this program; the service is followed all the same."""
+        """Reports an exception raised by this code, and retries the query as after any failure."""
         if reason.value is not None:
             self.source.proxy.report_exception(reason.value, reason.getTracebackObject())
         self.query_failed(type(reason.value).__name__)
 
     def query_failed(self, reason: str, status: int = 0, retry_after: str = "") -> None:
-        """Asks again after a pause that grows, by chance: asked by all sidecars at once, no agent comes up.
+        """Schedules a retry with exponential backoff and jitter; fails over after several failures.
 
-        An agent that came back with a lower index would keep a query at the old one waiting for it.
+        Without jitter, all sidecars would query at the same time and keep a restarting agent from coming up.
+        The index is reset, as a query with the old one would block at an agent that has restarted with a
+        lower index.
         """
         self.failures += 1
         self.index = 0
         if self.failures == 1:
-            self.source.log(f"consul: {self.service}: {self.address()}: {reason}; the list held stays good")
+            self.source.log(f"consul: {self.service}: {self.address()}: {reason}; the last list stays in use")
         if status in HTTP_UNAUTHORIZED:
             self.source.read_token()
         pause = backoff(self.failures) * random.uniform(0.5, 1.0)
@@ -210,11 +216,11 @@
         self.source.call_later(pause, self.send_query)
 
     def address(self) -> str:
-        """The address of the agent that is asked."""
+        """Returns the address of the agent that is queried."""
         return addresses.text(self.source.settings.agents[self.agent_number])
 
     def stop(self) -> None:
-        """Cancels the query."""
+        """Cancels a pending query."""
         request = self.request
         self.request = None
         if request:
@@ -223,12 +229,12 @@
 
 
 def backoff(attempts: int) -> float:
-    """Seconds to pause after so many in a row."""
+    """Returns the seconds to wait after a number of failures or outdated answers in a row."""
     return exponential_backoff(MIN_PAUSE, 2.0, attempts - 1, MAX_PAUSE)
 
 
 class ConsulSource:
-    """Several services of one Consul, as one endpoint list."""
+    """Follows several services of one Consul datacenter as one endpoint list."""
 
     def __init__(self, proxy: Proxy, settings: ConsulSettings) -> None:
         self.proxy = proxy
@@ -247,63 +253,65 @@
         self.read_token()
 
     def now(self) -> float:
-        """The time of the proxy's clock, in seconds."""
+        """Returns the time of the proxy's clock, in seconds."""
         return self.proxy.clock.now()
 
     def call_later(self, delay: float, call: Callable[[], object]) -> None:
-        """Calls after so many seconds."""
+        """Calls a function after a delay in seconds."""
         self.proxy.clock.call_later(delay, call)
 
     def log(self, text: str) -> None:
-        """Writes a line for operators."""
+        """Writes a line to the proxy's log."""
         self.proxy.log(text)
 
     def headers(self) -> Headers:
-        """The headers of a query."""
+        """Returns the headers of a query."""
         return Headers({"X-Consul-Token": [self.token]} if self.token else {})
 
     def apply_initial_list(self) -> None:
-        """Begins with no server."""
+        """Applies an empty list."""
         self.proxy.endpoints_received([], {}, True)
 
     def ensure_watching(self) -> None:
-        """Begins to ask."""
+        """Sends the first query of each service, unless that was done."""
         if not self.started and not self.stopped:
             self.started = True
             for watch in self.watches:
                 watch.send_query()
 
     def stop(self) -> None:
-        """Nothing more is received."""
+        """Cancels all queries; no more changes are applied."""
         self.stopped = True
         for watch in self.watches:
             watch.stop()
 
     def read_token(self) -> None:
-        """Reads the token, again whenever it was refused, as it may have been rotated."""
+        """Reads the token file, at the start and whenever the token was refused, as it may be rotated."""
         if not self.settings.token_file:
             return
         try:
             with Path(self.settings.token_file).open(encoding="ascii") as file:
                 self.token = file.read(MAX_TOKEN_LENGTH).strip()
         except (OSError, UnicodeDecodeError) as error:
-            self.log(f"consul: {self.settings.token_file}: {type(error).__name__}; the token held stays")
+            self.log(
+                f"consul: {self.settings.token_file}: {type(error).__name__}; the last token stays in use"
+            )
 
     def log_unused(self, service: str, reasons: list[str]) -> None:
-        """Logs why servers of an answer cannot be used, if that has changed."""
+        """Logs the reasons why servers of an answer are unusable, if they have changed."""
         if reasons != self.logged_unused.get(service, []):
             self.logged_unused[service] = reasons
             for reason in reasons[:MAX_UNUSED_LOGGED]:
                 self.log(f"consul: {service}: {reason}")
 
     def schedule_tick(self) -> None:
-        """Applies changes in the next iteration of the reactor."""
+        """Schedules a tick for the next iteration of the reactor, unless one is scheduled."""
         if not self.tick_scheduled:
             self.tick_scheduled = True
             self.call_later(0, self.tick)
 
     def tick(self) -> None:
-        """Applies what has changed, all in one list; again a tick later while something is unsettled."""
+        """Applies all due changes as one update; repeats while servers are unsettled or have changed."""
         if self.stopped:
             self.tick_scheduled = False
             return
@@ -321,7 +329,7 @@
             self.tick_scheduled = False
 
     def log_changes(self, now: float, changes: list[Change]) -> None:
-        """Logs a line for each change, or one for many."""
+        """Logs a line for each change, or a count if there are many."""
         if len(changes) > MAX_CHANGES_LOGGED:
             self.log(f"consul: {len(changes)} servers changed")
             return
--- a/brambleplank/discovery/file/__init__.py
+++ b/brambleplank/discovery/file/__init__.py
@@ -1,1 +1,1 @@
-"""A list of servers in a file on this machine, looked at again and again."""
+"""Endpoints from a server file on this machine, which is polled for changes."""
--- a/brambleplank/discovery/file/server_file.py
+++ b/brambleplank/discovery/file/server_file.py
@@ -1,4 +1,4 @@
-"""The servers of a file: their shape, what is wrong with them, and the list they make. Free of I/O."""
+"""Server files: their schema, their checks, and their conversion to endpoints. Free of I/O."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from brambleplank.tables import DocumentReader, KeyPath, judged
 
 STATES = {"ready": EndpointStatus.READY, "draining": EndpointStatus.DRAINING}
-SERVER_NAME = re.compile(r"[!-~]{1,128}")  # what log lines and datagrams can carry
-MAX_SIZE = 100.0  # times the smallest usual size
+SERVER_NAME = re.compile(r"[!-~]{1,128}")  # what log lines and datagrams can hold
+MAX_SIZE = 100.0  # relative to the usual size of 1; the minimum is 1 / MAX_SIZE
 
 
 class Server(msgspec.Struct, forbid_unknown_fields=True):
@@ -78,13 +78,13 @@
 
 
 def is_server_file(text: str) -> bool:
-    """Whether a text is meant as a file of servers, and not as a sidecar's."""
+    """Whether a text holds only tables of a server file, and so is not a sidecar's file."""
     tables = set(DocumentReader(text).tables)
     return bool(tables) and tables <= {"server", "end"}
 
 
 def parse(text: str) -> tuple[DocumentReader, list[Server]]:
-    """The servers of a file of servers; where the document has faults they are not to be used."""
+    """Parses a server file; no servers are returned if the document has faults."""
     document = DocumentReader(text)
     if document.is_unreadable:
         return document, []
@@ -98,7 +98,7 @@
 
 
 def report_missing_end(document: DocumentReader) -> None:
-    """Adds the fault of a file without its last table, on its last line."""
+    """Adds a fault, at the last line, for a file without the `end` table."""
     last_line = document.text.rstrip("\n").count("\n") + 1
     document.key_lines.by_path.setdefault(("end",), last_line)
     document.add_fault(
@@ -107,13 +107,13 @@
 
 
 def check_end_is_last(document: DocumentReader) -> None:
-    """Adds a fault if another table follows the last one."""
+    """Adds a fault if another table follows `end`."""
     if document.last_table != "end":
         document.add_fault(("end",), "not the last table", "move [end] to the last line")
 
 
 def check_duplicates(document: DocumentReader, servers: list[Server], path: KeyPath) -> None:
-    """Adds faults for names and addresses that two servers share, however written, and for unusable ones."""
+    """Adds faults for invalid or duplicate names and addresses; addresses are compared after parsing."""
     checks = DuplicateChecks(document, path)
     judged(
         partial(check, index, server)
@@ -123,7 +123,7 @@
 
 
 class DuplicateChecks:
-    """Checks servers one after the other against those before."""
+    """Checks each server of a list against the ones before it."""
 
     def __init__(self, document: DocumentReader, path: KeyPath) -> None:
         self.document = document
@@ -132,7 +132,7 @@
         self.addresses: dict[Address, int] = {}
 
     def check_name(self, index: int, server: Server) -> None:
-        """Adds a fault for a name that is unusable, or that an earlier server has."""
+        """Adds a fault if the name is invalid or that of an earlier server."""
         key = (*self.path, index, "name")
         if not SERVER_NAME.fullmatch(server.name):
             self.document.add_fault(key, "need a word", 'write letters without spaces, like "feed1"')
@@ -142,7 +142,7 @@
         self.names.setdefault(server.name, index)
 
     def check_address(self, index: int, server: Server) -> None:
-        """Adds a fault for an address that is unusable, or that an earlier server has."""
+        """Adds a fault if the address is invalid or that of an earlier server."""
         key = (*self.path, index, "address")
         address = addresses.read(server.address)
         if address is None:
@@ -156,7 +156,7 @@
 
 
 def endpoints_of(servers: list[Server]) -> tuple[list[Endpoint], dict[str, Address]]:
-    """Endpoints, and addresses by server, as the proxy takes them; the servers are without fault."""
+    """Returns the endpoints of valid servers, and their addresses by server name."""
     endpoints: list[Endpoint] = []
     addresses_by_server: dict[str, Address] = {}
     for server in servers:
--- a/brambleplank/discovery/file/source.py
+++ b/brambleplank/discovery/file/source.py
@@ -1,8 +1,8 @@
-"""Follows a file of servers: checked again and again, applied as a whole or not at all.
+"""Polls a server file and applies each valid new version as a whole.
 
-The file is compared by its inode, size and time of change, and read in a thread once these differ, so that
-neither a slow disk nor a list of thousands holds up the reactor. What cannot be used is logged once, and the
-list held stays in use.
+A change is detected by the file's inode, size and modification time. The file is read and parsed in a thread,
+so that neither a slow disk nor thousands of servers block the reactor. A problem is logged once, and the last
+valid list stays in use.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 from brambleplank.net.proxy import Proxy
 
 MAX_CHECK_INTERVAL = 0.2  # seconds
-DRAIN_GRACE_SHARE = 1 / 4  # a drain counts from the file on, and has to be noticed within its grace
-MAX_SIZE = 16 * 1024**2  # bytes; far more than the servers that a sidecar can hold
+# The drain grace counts from the change of the file, so a drain must be noticed well within it.
+DRAIN_GRACE_SHARE = 1 / 4
+MAX_SIZE = 16 * 1024**2  # bytes; far more than a sidecar's servers need
 
 
 class FileStamp(NamedTuple):
-    """What differs once a file has changed."""
+    """File attributes that identify a version of a file."""
 
     inode: int
     size: int  # bytes
@@ -31,21 +32,21 @@
 
 
 class FileContent(NamedTuple):
-    """What was read of a file; with faults, its servers are not to be used."""
+    """The faults and servers of a file; the servers must not be used if there are faults."""
 
     faults: list[str]
     servers: list[server_file.Server]
 
 
 class FileSource:
-    """A list of servers at a path. `servers` are those already read from it, at the start."""
+    """Follows the server file at a path; `servers` are those that were read from it at startup, if any."""
 
     def __init__(self, proxy: Proxy, path: str, servers: list[server_file.Server] | None = None) -> None:
         self.proxy = proxy
         self.path = path
         self.interval = min(MAX_CHECK_INTERVAL, DRAIN_GRACE_SHARE * proxy.settings.drain_grace)  # seconds
         self.servers = servers
-        self.stamp: FileStamp | None = None  # of what was last read, usable or not
+        self.stamp: FileStamp | None = None  # of the version read last, valid or not
         self.last_problem = ""
         self.reading = False
         self.stopped = False
@@ -53,22 +54,22 @@
         self.lists_applied = 0
 
     def ensure_watching(self) -> None:
-        """Begins to check. It never gives up, so there is no failure after which to begin again."""
+        """Starts polling, unless it runs already; polling never stops after a failure."""
         if not self.started and not self.stopped:
             self.started = True
             self.check()
 
     def stop(self) -> None:
-        """Nothing more is applied."""
+        """Stops polling; a read in progress is not applied."""
         self.stopped = True
 
     def apply_initial_list(self) -> None:
-        """Applies the list as read at the start, ahead of the first check."""
+        """Applies the list that was read at startup, if any."""
         if self.servers is not None:
             self.apply(self.servers)
 
     def check(self) -> None:
-        """Reads the file if it has changed, and checks again later."""
+        """Starts reading the file if it has changed, and schedules the next check."""
         if self.stopped:
             return
         self.proxy.clock.call_later(self.interval, self.check)
@@ -77,7 +78,7 @@
         try:
             status = Path(self.path).stat()
         except OSError as error:
-            # A file that is being replaced may be missing for a moment, and its servers are not gone.
+            # A file that is being replaced may be missing for a moment; its servers stay in use.
             self.log_problem(f"{self.path}: {error.strerror}")
             self.stamp = None
             return
@@ -93,7 +94,7 @@
         content.addCallbacks(self.content_read, self.read_failed, callbackArgs=(stamp,))
 
     def read(self) -> FileContent:
-        """Reads the file, in a thread: nothing of the proxy is touched here."""
+        """Reads and parses the file; runs in a thread, so it must not use the proxy."""
         with Path(self.path).open("rb") as file:
             data = file.read(MAX_SIZE + 1)
         try:
@@ -104,7 +105,7 @@
         return FileContent([str(fault) for fault in sorted(document.faults)], servers)
 
     def content_read(self, content: FileContent, stamp: FileStamp) -> None:
-        """Applies what was read, if it is without fault and differs."""
+        """Applies the servers of the file if it is valid and they have changed."""
         self.reading = False
         if self.stopped:
             return
@@ -122,12 +123,12 @@
             self.apply(content.servers)
 
     def read_failed(self, reason: Failure) -> None:
-        """The file could not be read."""
+        """Logs a failure to read the file."""
         self.reading = False
         self.log_problem(f"{self.path}: {type(reason.value).__name__}")
 
     def apply(self, servers: list[server_file.Server]) -> None:
-        """Notifies the proxy of a list; logs any but the first."""
+        """Passes a list to the proxy; logs it unless it is the first."""
         self.lists_applied += 1
         endpoints, addresses = server_file.endpoints_of(servers)
         self.proxy.endpoints_received(endpoints, addresses, True)
@@ -136,7 +137,7 @@
             self.proxy.log(f"list: {self.path}: {len(servers)} servers, {draining} draining")
 
     def log_problem(self, problem: str) -> None:
-        """Logs what is wrong once: it is found anew at each check."""
+        """Logs a problem once, not at each check that finds it."""
         if problem != self.last_problem and not self.stopped:
             self.last_problem = problem
             self.proxy.log(f"list: kept as it was: {problem}")
--- a/brambleplank/discovery/platform/__init__.py
+++ b/brambleplank/discovery/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The list as the platform's discovery tells it: a watch over HTTP."""
+"""Endpoints from the platform's discovery service, over an HTTP watch."""
--- a/brambleplank/discovery/platform/discovery.py
+++ b/brambleplank/discovery/platform/discovery.py
@@ -1,13 +1,14 @@
-"""Follows the platform's endpoint list: a watch over HTTP, one JSON object a line.
+"""Follows the platform's endpoint list: a watch over HTTP, one JSON object per line.
 
-A change that discovery has, and can be reached for, counts as received after 6 s, whatever failed
-meanwhile. In the worst order a watch falls silent right after a line (3.0 s until that is noticed), a
-request is refused or given up (0.4), one is answered by a list that drips (0.4 to its first byte, 0.8 for
-the whole), another is given up (0.4); with a pause of 0.1 s before each, the fourth request is made 5.4 s
-after the change. `docs/design/races.md` has the timeline.
+The proxy is held to a change 6 s after discovery has it, provided that discovery can be reached, whatever
+requests failed in between. In the worst sequence a watch goes silent right after a line (3.0 s to detect), a
+request is refused or times out (0.4 s), the response to the next one stalls within the list (0.4 s to its
+first byte, 0.8 s to the whole list), and another request times out (0.4 s). With a delay of 0.1 s before each
+request, the fourth one is sent 5.4 s after the change. `docs/design/races.md` has the timeline.
 
-What discovery has at its return counts as received at once. A request that was made just before is never
-answered; where the drain grace is short, another one is made beside it before it is given up.
+When discovery comes back after an outage, the proxy is held at once to what discovery has. A request sent
+just before that is never answered. If the drain grace is short, a second request is therefore sent before
+the first one times out.
 """
 
 from __future__ import annotations
@@ -30,22 +31,22 @@
 from brambleplank.net.loop import reactor
 from brambleplank.net.proxy import Proxy
 
-CATCH_UP_TIME = 2.5  # seconds in which discovery at a new address may still be behind what is held
-RETRY_DELAY = 0.1  # seconds between two requests; the agent is on this machine, and answers at no cost
-RESPONSE_TIMEOUT = 0.4  # seconds from a request to a list's first byte, which comes at once or not at all
-HEDGE_SHARE = 1 / 3  # of the drain grace; the rest is left for the answer, and for a stall of this process
-FIRST_LIST_TIMEOUT = 0.8  # seconds from there to the whole list, and more as its bytes come
-MIN_TRANSFER_RATE = 1024 * 1024  # bytes a second of a list that comes from this machine
-LINE_TIMEOUT = 3.0  # seconds without a whole line, where an empty one comes every 2 s
+CATCH_UP_TIME = 2.5  # seconds for which discovery at a new address may serve an outdated list
+RETRY_DELAY = 0.1  # seconds between two requests; the agent is local, so a short delay costs nothing
+RESPONSE_TIMEOUT = 0.4  # seconds from a request to the list's first byte, which comes at once or not at all
+HEDGE_SHARE = 1 / 3  # of the drain grace; the rest is for the response, and for a stall of this process
+FIRST_LIST_TIMEOUT = 0.8  # seconds from the first byte to the whole list, plus the transfer time of its bytes
+MIN_TRANSFER_RATE = 1024 * 1024  # bytes per second; discovery is on this machine
+LINE_TIMEOUT = 3.0  # seconds without a complete line; discovery sends an empty one every 2 s
 HTTP_OK = 200
-TOKEN_PATTERN = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings, and what opens and closes
+TOKEN_PATTERN = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings and brackets
 
 
 class Watch(LineReceiver):
-    """One open watch.
+    """The response body of an open watch.
 
-    Whole lines alone show that it is alive: a body that drips, or whose line never ends, is as silent as one
-    that brings nothing.
+    Only complete lines keep a watch alive. A body that trickles in, or a line that never ends, times out as
+    if nothing had been received.
     """
 
     delimiter = b"\n"
@@ -55,27 +56,27 @@
 
     def __init__(self, discovery: Discovery) -> None:
         self.discovery = discovery
-        self.lines: list[bytes] = []  # of an indented list that is not complete
-        self.open_brackets = 0  # brackets that are open in them
-        self.list_size = 0  # bytes of them
-        self.incomplete_since = 0.0  # when a line or list that is not complete began; 0: there is none
+        self.lines: list[bytes] = []  # of an indented list that is still incomplete
+        self.open_brackets = 0  # nesting depth after `lines`
+        self.list_size = 0  # bytes in `lines`
+        self.incomplete_since = 0.0  # when an incomplete line or list began; 0: none
         self.incomplete_bytes = 0
-        self.first_list_timeout = FIRST_LIST_TIMEOUT  # for the first list; a change comes in one piece
-        self.timer: CallAfterReads | None = None  # until the next whole line, or the first byte, is overdue
+        self.first_list_timeout = FIRST_LIST_TIMEOUT  # 0 after it; later lists come in one piece
+        self.timer: CallAfterReads | None = None  # for the first byte or the next complete line
 
     def start_timer(self, timeout: float) -> None:
-        """Expects a whole line within so many seconds."""
+        """Restarts the timer for the next complete line, with a timeout in seconds."""
         self.stop_timer()
         self.timer = self.discovery.proxy.clock.call_after_reads(timeout, self.timed_out)
 
     def stop_timer(self) -> None:
-        """Expects nothing more."""
+        """Cancels the timer."""
         if self.timer and self.timer.active():
             self.timer.cancel()
         self.timer = None
 
     def timed_out(self) -> None:
-        """Ends the watch, unless a long list is still arriving; one that drips never ends."""
+        """Fails the watch as silent, unless a long list is still arriving at the minimum rate."""
         transfer_time = self.first_list_timeout + self.incomplete_bytes / MIN_TRANSFER_RATE
         remaining = self.incomplete_since + transfer_time - self.discovery.proxy.clock.now()
         if self.incomplete_since and remaining > 0:
@@ -84,12 +85,12 @@
             self.discovery.watch_failed("silent")
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Expects the first byte, counted from the request."""
+        """Starts the timer for the first byte; the timeout counts from the request."""
         deadline = self.discovery.requested_at + RESPONSE_TIMEOUT
         self.start_timer(max(0.0, deadline - self.discovery.proxy.clock.now()))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Notes since when a line or list is incomplete, and how much of it has come."""
+        """Tracks the start and the size of an incomplete line or list."""
         if not self.incomplete_since:
             self.incomplete_since = self.discovery.proxy.clock.now()
         self.incomplete_bytes += len(data)
@@ -99,7 +100,7 @@
             self.incomplete_bytes = 0
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Collects the lines of a list; an empty line between two lists says that nothing has changed."""
+        """Collects the lines of a list; an empty line between two lists is a heartbeat."""
         if self.discovery.watch is not self:
             return
         if not line.strip() and not self.lines:
@@ -108,19 +109,19 @@
             return
         self.list_size += len(line)
         self.lines.append(line)
-        # Parsed again at each of its lines, a long indented list would hold up everything else.
+        # Counts brackets, as parsing a long indented list again at each line would block the reactor.
         self.open_brackets += sum(
             (token in b"{[") - (token in b"}]") for token in TOKEN_PATTERN.findall(line)
         )
         if self.list_size > self.MAX_LENGTH:
             self.discovery.watch_failed("overlong line")
         elif not line.strip():
-            self.discovery.watch_failed("garbled: an empty line amid a list")
+            self.discovery.watch_failed("garbled: empty line within a list")
         elif self.open_brackets <= 0:
             self.list_completed()
 
     def list_completed(self) -> None:
-        """Passes a list on, or ends the watch if it is garbled."""
+        """Passes a complete list on, or fails the watch if the list is malformed."""
         text = b"\n".join(self.lines)
         self.lines = []
         self.open_brackets = 0
@@ -132,23 +133,23 @@
             self.discovery.watch_failed(f"garbled: {error}")
 
     def line_completed(self) -> None:
-        """A whole line has come, and the next is expected."""
+        """Restarts the timer after a complete list or heartbeat."""
         self.first_list_timeout = 0.0
         self.start_timer(LINE_TIMEOUT)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802, ARG002
-        """Ends the watch."""
+        """Fails the watch."""
         self.discovery.watch_failed("overlong line")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, ARG002
-        """The response has ended."""
+        """Fails the watch, as the response has ended."""
         self.stop_timer()
         if self.discovery.watch is self:
             self.discovery.watch_failed("ended")
 
 
 class DiscardedBody(Protocol):
-    """The body of a response that is no list."""
+    """Discards the body of a response that is not used."""
 
     transport: Any = None
 
@@ -158,7 +159,7 @@
 
 
 class DiscoveryService:
-    """The HTTP service at one address."""
+    """The HTTP service of discovery at one address."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -166,47 +167,47 @@
         self.url = b"http://%s:%d/discovery/hosts?watch=1" % (address[0].encode(), address[1])
 
     def request_watch(self, version: int | None) -> defer.Deferred[Any]:
-        """Asks for changes since a version, or for the whole list."""
+        """Requests changes since a version, or the whole list if there is no version."""
         query = b"" if version is None else b"&from=%d" % version
         request: defer.Deferred[Any] = self.agent.request(b"GET", self.url + query)
         return request
 
 
 class WatchRequest:
-    """A request for a watch that is out."""
+    """A pending request for a watch."""
 
     def __init__(self, requested_at: float, response: defer.Deferred[Any], timer: CallAfterReads) -> None:
-        """`timer` gives it up."""
+        """`timer` cancels the request."""
         self.requested_at = requested_at
         self.response = response
         self._timer = timer
 
     def cancel(self) -> None:
-        """Gives it up."""
+        """Cancels the request."""
         self.stop_timer()
         self.response.cancel()
 
     def stop_timer(self) -> None:
-        """It has ended in time."""
+        """Cancels the timer of a request that has finished."""
         if self._timer.active():
             self._timer.cancel()
 
 
 class OutdatedList:
-    """A list that is older than the one held, and the changes to it since."""
+    """A list from a new address that is older than the applied one, with later changes to it merged."""
 
     def __init__(self) -> None:
         self.endpoints: dict[str, tuple[Endpoint, Address]] = {}
 
     def apply(self, update: EndpointList) -> None:
-        """Applies changes, or a list that takes its place."""
+        """Merges changes, or replaces everything by a whole list."""
         if update.is_whole:
             self.endpoints = {}
         for endpoint in update.endpoints:
             self.endpoints[endpoint.id] = endpoint, update.addresses[endpoint.id]
 
     def as_list(self, version: int) -> EndpointList:
-        """The whole list, without servers that are removed by now."""
+        """Returns the merged list as a whole list, without removed servers."""
         listed = [
             (endpoint, address)
             for endpoint, address in self.endpoints.values()
@@ -217,30 +218,30 @@
 
 
 class Discovery:
-    """Follows the list when asked to, and reports when that failed."""
+    """Follows the endpoint list of the platform, and reports failures to the proxy."""
 
     def __init__(self, proxy: Proxy, address: Address) -> None:
         self.proxy = proxy
         self.service = DiscoveryService(address)
-        self.version: int | None = None  # at this address; None: the whole list is asked for
-        self.newest_version = 0  # version of what was applied, wherever it came from
-        self.outdated: OutdatedList | None = None  # waits until it is as new as what is held
+        self.version: int | None = None  # received from this address; None: requests the whole list
+        self.newest_version = 0  # version of the applied list, whichever address it came from
+        self.outdated: OutdatedList | None = None  # deferred until it is as new as the applied list
         self.address_changed_at = -inf
-        self.requested_at = -inf  # when the request was made that the newest watch answers
-        self.failure_reported = False  # whether that was reported, and no list has come since
-        self.requests: list[WatchRequest] = []  # that are out, oldest first
+        self.requested_at = -inf  # when the request of the current watch was sent
+        self.failure_reported = False  # and no list was received since
+        self.requests: list[WatchRequest] = []  # pending, oldest first
         self.watch: Watch | None = None
 
     @property
     def address(self) -> Address:
-        """Where discovery is."""
+        """The address of discovery."""
         return self.service.address
 
     def change_address(self, address: Address) -> None:
-        """Discovery is elsewhere now: nothing more is received from where it was; the list held stays in use.
+        """Follows discovery at another address from now on; the applied list stays in use.
 
-        The whole list is asked for: versions need not count alike there, and a change that was missed on
-        the way would stay missed.
+        Requests the whole list: version numbers may differ between the two addresses, and a change that was
+        missed in between would otherwise never be received.
         """
         self.stop()
         self.service = DiscoveryService(address)
@@ -249,23 +250,23 @@
         self.ensure_watching()
 
     def stop(self) -> None:
-        """Ends the watch, or the requests for one."""
+        """Closes the watch and cancels all requests."""
         self.close_watch()
         self.cancel_requests()
 
     def cancel_requests(self) -> None:
-        """Gives up all requests for a watch."""
+        """Cancels all pending requests for a watch."""
         requests = self.requests
         self.requests = []
         for request in requests:
             request.cancel()
 
     def close_watch(self) -> None:
-        """Ends the watch, if there is one."""
+        """Closes the watch, if there is one."""
         watch = self.watch
         self.watch = None
         if self.outdated is not None:
-            # What waits was not applied; asked for from its version on, it would stay missed.
+            # The deferred list was not applied. A request for changes since its version would skip them.
             self.outdated = None
             self.version = None
         if watch is not None:
@@ -274,9 +275,9 @@
                 watch.transport.loseConnection()
 
     def apply_initial_list(self, encoded: Any, origin: Address | None = None) -> None:
-        """Applies the list as this proxy last had it; `origin` is the address that it came from.
+        """Applies a list that this proxy had before; `origin` is the address that it was received from.
 
-        The version of a list from another address may say nothing here.
+        If that is another address, its version may not be valid here, so the whole list is requested next.
         """
         known = decode_list(encoded)
         self.newest_version = known.version
@@ -284,12 +285,12 @@
         self.proxy.endpoints_received(known.endpoints, known.addresses, True)
 
     def ensure_watching(self) -> None:
-        """Asks for a watch, unless there is one or a request for it."""
+        """Requests a watch, unless one is open or requested."""
         if not self.requests and not self.watch:
             self.send_request()
 
     def send_request(self) -> None:
-        """Asks for a watch, whether or not another request is out."""
+        """Requests a watch, even if another request is pending."""
         clock = self.proxy.clock
         response = self.service.request_watch(self.version)
         timer = clock.call_after_reads(RESPONSE_TIMEOUT, response.cancel)
@@ -303,12 +304,12 @@
         )
 
     def hedge(self, request: WatchRequest) -> None:
-        """Asks once more beside a request that discovery may never answer, as it was down."""
+        """Sends a second request if the first is still pending, as discovery may have been down for it."""
         if request in self.requests:
             self.send_request()
 
     def response_received(self, response: Any, request: WatchRequest) -> None:
-        """Opens the watch, or asks again if there is none."""
+        """Opens the watch; any status but 200 fails the request."""
         request.stop_timer()
         if request not in self.requests:
             response.deliverBody(DiscardedBody())
@@ -324,7 +325,7 @@
         response.deliverBody(self.watch)
 
     def request_failed(self, reason: Failure | str, request: WatchRequest) -> None:
-        """Asks again, unless another request is out, or this one was cancelled."""
+        """Schedules a retry, unless another request is pending or this one was cancelled."""
         request.stop_timer()
         if request not in self.requests:
             return
@@ -336,29 +337,29 @@
             self.schedule_retry(reason_text)
 
     def schedule_retry(self, reason: str) -> None:
-        """Asks again soon.
+        """Schedules the next request after a short delay.
 
-        What the agent has counts as received, and so does soon what a silent watch misses. So the pause
-        between two requests that spares a fleet's one service is not waited out here.
+        The proxy is held to changes that the local agent has, and soon to those that a silent watch misses.
+        The longer pause that protects a central service of a whole fleet is therefore not used here.
         """
-        # First of all: an exception below would end the following.
+        # Scheduled first, as an exception in the report would otherwise end the watching for good.
         self.proxy.clock.call_later(RETRY_DELAY, self.ensure_watching)
         self.report_failure(reason)
 
     def report_failure(self, reason: str) -> None:
-        """Reports the first of failures in a row."""
+        """Reports a failure, unless one was reported since the last list or the address has just changed."""
         if not self.failure_reported and not self.is_catching_up():
             self.failure_reported = True
             self.proxy.endpoint_list_failed(reason)
 
     def watch_failed(self, reason: str) -> None:
-        """The watch brings no more lists."""
+        """Closes the watch and schedules a retry."""
         if self.watch is not None:
             self.close_watch()
             self.schedule_retry(reason)
 
     def list_received(self, encoded: Any) -> None:
-        """Applies a list, or changes to the one before. Raises MalformedListError."""
+        """Applies a whole list or changes, or defers an outdated list. Raises MalformedListError."""
         if self.watch is None:
             return
         update = decode_list(encoded)
@@ -377,29 +378,30 @@
         self.proxy.endpoint_list_confirmed()
 
     def check_order(self, update: EndpointList) -> None:
-        """Raises MalformedListError for changes that cannot follow what came before."""
+        """Raises MalformedListError for changes that do not follow the list received before."""
         if update.is_whole:
             return
         if self.version is not None and update.version < self.version:
             self.version = None
             raise MalformedListError(f"version went back to {update.version}")
         if self.version is None and self.outdated is None:
-            raise MalformedListError("changes to a list that was not told")
+            raise MalformedListError("changes without a whole list before them")
 
     def heartbeat_received(self) -> None:
-        """The watch is alive, and has sent all that there is."""
+        """Reports that the applied list is current, unless a whole list is awaited or deferred."""
         if self.version is not None and self.outdated is None:
             self.proxy.endpoint_list_confirmed()
 
     def is_catching_up(self) -> bool:
-        """Whether discovery at a new address may still be behind what is held."""
+        """Whether discovery at a new address may still serve an older list than the applied one."""
         return self.proxy.clock.now() < self.address_changed_at + CATCH_UP_TIME
 
     def defer_update(self, update: EndpointList) -> OutdatedList:
-        """Keeps a list that is not applied yet, and the changes to it.
+        """Defers a list from a new address that is older than the applied one, and merges changes to it.
 
-        At another address an older list may come first; applied, it would bring back servers that are known
-        to drain. It waits until it is as new, or until it is plain that versions count otherwise there.
+        If it were applied, servers that are known to drain would become ready again. It is deferred until
+        its version reaches the applied one, or until `CATCH_UP_TIME` has passed: then versions at the new
+        address are taken to be independent of the old ones.
         """
         if self.outdated is None:
             self.outdated = OutdatedList()
@@ -409,7 +411,7 @@
         return self.outdated
 
     def catch_up_expired(self, watch: Watch) -> None:
-        """Still behind after a move: the whole list is asked for again, and applied as it is."""
+        """Requests the whole list again after `CATCH_UP_TIME`; it is applied whatever its version."""
         if watch is self.watch and self.outdated is not None:
             self.close_watch()
             self.ensure_watching()
--- a/brambleplank/discovery/platform/endpoint_list.py
+++ b/brambleplank/discovery/platform/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The platform's form of an endpoint list, decoded and encoded. Free of I/O."""
+"""Decodes and encodes the platform's JSON form of an endpoint list. Free of I/O."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 class MalformedListError(BrambleplankError, ValueError):
-    """Not a list of servers."""
+    """An endpoint list that is malformed, or changes that do not follow the list before."""
 
-    ADVICE = "look at what discovery tells; the list held stays in use"
+    ADVICE = "check the list that discovery serves; the last list stays in use"
 
 
 class EndpointList(NamedTuple):
-    """A list, or changes to the one before it."""
+    """A whole endpoint list, or changes to the one before it."""
 
     version: int
-    is_whole: bool  # whether servers that are not in it are removed
+    is_whole: bool  # if so, servers that are not in it are removed
     endpoints: list[Endpoint]
-    addresses: dict[str, Address]  # by server
+    addresses: dict[str, Address]  # by server id
 
 
 def decode_list(encoded: Any) -> EndpointList:
@@ -49,11 +49,14 @@
 
 
 def decode_host(host: Any) -> tuple[Endpoint, Address]:
-    """Decodes one server. Raises what wrong types and values raise."""
+    """Decodes one server.
+
+    Raises KeyError, TypeError, ValueError, AttributeError or OverflowError if it is malformed.
+    """
     name, port = host["dial"].rsplit(":", 1)
     size = float(host.get("share") or DEFAULT_SIZE)
     started = (host.get("born_ms") or 0) / MS_PER_SECOND
-    # No size or start is comparable with one that is not finite, and no other port can be connected to.
+    # The decisions compare sizes and start times, so both must be finite; the port must be one of TCP.
     usable = 0 < int(port) <= MAX_PORT and 0 < size < inf and isfinite(started)
     if not (usable and name and host["host"]):
         raise ValueError(f"out of range in {host['host']!r:.40}")
@@ -69,7 +72,7 @@
 
 
 def encode_list(version: int, endpoints: list[Endpoint], addresses: dict[str, Address]) -> dict[str, Any]:
-    """Encodes a whole list."""
+    """Encodes a whole endpoint list."""
     hosts = [encode_host(endpoint, addresses[endpoint.id]) for endpoint in endpoints]
     return {"seq": version, "whole": True, "hosts": hosts}
 
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -152,7 +152,7 @@
     standing = program.open_request()
     assert standing.read_line().startswith("UP ")
     agents.do(agent, "stop")
-    program.next_log_line("the list held stays good")
+    program.next_log_line("the last list stays in use")
     assert set(words(program, 40)) == {"UP 0", "UP 1", "UP 2"}
     agents.do(agent, "go_back", index=1)
     kept = agent.services["feeds"]
@@ -185,7 +185,7 @@
             agents.do(agent, what, **more)
         for agent in (first, second):
             agents.do(agent, "passing", "s0")  # whoever waits is answered
-        program.next_log_line("the list held stays good")
+        program.next_log_line("the last list stays in use")
         program.next_log_line("answered again")
     first.token = second.token = "new"
     agents.do(first, "passing", "s0")
--- a/tests/test_consul_health.py
+++ b/tests/test_consul_health.py
@@ -194,7 +194,7 @@
     story.tell(s0=ILL, s3=ILL, s6=ILL)  # all of zone a
     story.wait(30.0)
     assert story.log == []
-    assert story.catalog.log_lines == ["consul: zone a: 0 of 3 healthy: kept as they were"]
+    assert story.catalog.log_lines == ["consul: zone a: 0 of 3 healthy: last good set stays in use"]
     story.tell(s3=GOOD, s6=GOOD)  # now one server is ill, and is taken at its word
     story.wait(2.0)
     assert [(name, condition) for _, name, condition in story.log] == [("s0", DRAINING)]
@@ -215,7 +215,7 @@
     story.wait(2.0)
     story.tell(resumed=True, **all_of(story, HealthStatus.ABSENT))
     assert story.catalog.log_lines == [
-        f"consul: {where}: 0 of {count} healthy: kept as they were"
+        f"consul: {where}: 0 of {count} healthy: last good set stays in use"
         for where, count in (("all zones", 6), ("zone a", 3), ("zone b", 3))
     ]
     story.wait(59.0)
