--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -71,21 +71,21 @@
         """Serves each connection in a thread of its own."""
         with suppress(OSError):
             while True:
-                line = LineConnection(self.listener.accept()[0])
+                connection = LineConnection(self.listener.accept()[0])
                 self.connection_count += 1
-                threading.Thread(target=self.serve, args=[line], daemon=True).start()
+                threading.Thread(target=self.serve, args=[connection], daemon=True).start()
 
-    def serve(self, line: LineConnection) -> None:
+    def serve(self, connection: LineConnection) -> None:
         """Answers one connection's opening."""
-        first = line.read_line()
-        if not first.startswith("OPEN "):
+        opening = connection.read_line()
+        if not opening.startswith("OPEN "):
             return
         self.opening_count += 1
         if self.answer:
-            line.send_line(self.answer)
+            connection.send_line(self.answer)
         elif self.answer is not None:
-            line.close()
-        self.openings.put((first, line))
+            connection.close()
+        self.openings.put((opening, connection))
 
     def next_opening(self) -> tuple[str, LineConnection]:
         """Returns the next opening and its connection; waits for it."""
@@ -110,24 +110,26 @@
         """Reads the head of each request, one after another."""
         with suppress(OSError):
             while True:
-                line = LineConnection(self.listener.accept()[0])
-                first = line.read_line()
-                while line.read_line():
+                connection = LineConnection(self.listener.accept()[0])
+                request_line = connection.read_line()
+                while connection.read_line():
                     pass
-                self.requests.put((first, line))
+                self.requests.put((request_line, connection))
 
     def accept_watch(self) -> tuple[str, LineConnection]:
         """Returns the next request for a watch, answered as discovery does: at once, with what has changed.
 
         A request for the whole list is left for the test to answer.
         """
-        first, line = self.requests.get(timeout=TEST_TIMEOUT)
-        while line.is_closed():  # nobody waits for its answer any more: it came too late, on a busy machine
-            first, line = self.requests.get(timeout=TEST_TIMEOUT)
-        line.socket.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        if since := re.search(r"from=(\d+)", first):
-            self.send_text(line, json.dumps(endpoint_list(int(since[1]), False)))
-        return first, line
+        request_line, connection = self.requests.get(timeout=TEST_TIMEOUT)
+        while (
+            connection.is_closed()
+        ):  # nobody waits for its answer any more: it came too late, on a busy machine
+            request_line, connection = self.requests.get(timeout=TEST_TIMEOUT)
+        connection.socket.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        if since := re.search(r"from=(\d+)", request_line):
+            self.send_text(connection, json.dumps(endpoint_list(int(since[1]), False)))
+        return request_line, connection
 
     @staticmethod
     def send_text(watch: LineConnection, text: str) -> None:
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -33,16 +33,16 @@
         self.thread.start()
         self.agents: list[StandInConsul] = []
 
-    def new(self) -> StandInConsul:
+    def start_agent(self) -> StandInConsul:
         self.agents.append(StandInConsul())
         self.run(self.agents[-1].listen())
         return self.agents[-1]
 
-    def run(self, doing: Any) -> None:
-        asyncio.run_coroutine_threadsafe(doing, self.loop).result(TEST_TIMEOUT)
+    def run(self, coroutine: Any) -> None:
+        asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(TEST_TIMEOUT)
 
-    def do(self, agent: StandInConsul, what: str, server: str = "", **more: Any) -> float:
-        self.run(do(agent, Step(0.0, what, "feeds", server, more)))
+    def do(self, agent: StandInConsul, what: str, server: str = "", **options: Any) -> float:
+        self.run(do(agent, Step(0.0, what, "feeds", server, options)))
         return time.monotonic()
 
     def close(self) -> None:
@@ -50,139 +50,139 @@
             self.run(agent.close())
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join()
-        left = asyncio.all_tasks(self.loop)
+        pending = asyncio.all_tasks(self.loop)
         self.loop.close()
-        assert not left
+        assert not pending
 
 
 @pytest.fixture
 def agents() -> Iterator[Agents]:
-    found = Agents()
-    yield found
-    found.close()
+    running = Agents()
+    yield running
+    running.close()
 
 
-class Beside(Sidecar):
+class ConsulSidecar(Sidecar):
     """A sidecar whose servers come from Consul."""
 
-    def __init__(self, folder: Path, asked: Consul) -> None:
-        self.asked = asked
+    def __init__(self, folder: Path, consul_config: Consul) -> None:
+        self.consul_config = consul_config
         super().__init__(folder, endpoint_list(1, True))
 
     def write_file(self) -> None:
         file: File = self.file
-        file.servers, file.consul = None, self.asked
+        file.servers, file.consul = None, self.consul_config
         super().write_file()
 
 
 @pytest.fixture
-def beside(tmp_path: Path) -> Iterator[Callable[[Consul], Beside]]:
+def start_consul_sidecar(tmp_path: Path) -> Iterator[Callable[[Consul], ConsulSidecar]]:
     programs: list[Program] = []
 
-    def begin(asked: Consul) -> Beside:
-        program = Beside(tmp_path, asked)
+    def start(consul_config: Consul) -> ConsulSidecar:
+        program = ConsulSidecar(tmp_path, consul_config)
         programs.append(program)
         program.next_log_line("ready: ")
         return program
 
-    yield begin
+    yield start
     for program in programs:
         program.process.kill()
         program.process.wait()
 
 
-def fleet(agents: Agents, agent: StandInConsul, *servers: StandInServer) -> None:
+def register_servers(agents: Agents, agent: StandInConsul, *servers: StandInServer) -> None:
     for n, server in enumerate(servers):
         agents.do(agent, "register", f"s{n}", address=server.address)
 
 
-def asked(*agents: StandInConsul, **more: Any) -> Consul:
-    return Consul([agent.address for agent in agents], ["feeds"], **more)
+def consul_config(*agents: StandInConsul, **options: Any) -> Consul:
+    return Consul([agent.address for agent in agents], ["feeds"], **options)
 
 
-def words(program: Beside, count: int, start: int = 0) -> list[str]:
+def answers_to_requests(program: ConsulSidecar, count: int, start: int = 0) -> list[str]:
     """What many flows of many keys hear."""
-    heard = []
+    answers = []
     for key in range(start, start + count):
-        caller = program.open_request(f"{key * 7919:x}")
-        heard.append(caller.read_line())
-        caller.close()
-    return heard
+        client = program.open_request(f"{key * 7919:x}")
+        answers.append(client.read_line())
+        client.close()
+    return answers
 
 
 def test_drain_ends_new_requests_in_time_and_keeps_sessions(
-    agents: Agents, beside: Callable[[Consul], Beside]
+    agents: Agents, start_consul_sidecar: Callable[[Consul], ConsulSidecar]
 ) -> None:
-    agent, one, other = agents.new(), StandInServer("UP one"), StandInServer("UP other")
-    fleet(agents, agent, one, other)
-    program = beside(asked(agent))
-    standing = program.open_request()
-    word = standing.read_line()
-    owner, server = (one, "s0") if word == "UP one" else (other, "s1")
-    there = owner.next_opening()[1]
+    agent, one, other = agents.start_agent(), StandInServer("UP one"), StandInServer("UP other")
+    register_servers(agents, agent, one, other)
+    program = start_consul_sidecar(consul_config(agent))
+    session = program.open_request()
+    answer = session.read_line()
+    owner, server = (one, "s0") if answer == "UP one" else (other, "s1")
+    server_side = owner.next_opening()[1]
     agents.do(agent, "maintain", server)
-    said = program.next_log_line("as maintenance")
-    assert "as maintenance after 0.0" in said or "as maintenance after 0.1" in said
+    log_line = program.next_log_line("as maintenance")
+    assert "as maintenance after 0.0" in log_line or "as maintenance after 0.1" in log_line
     count = owner.opening_count
-    assert word not in words(program, 40) and owner.opening_count == count
-    standing.send_line("M 1")
-    assert there.read_line() == "M 1"
-    there.send_line(
+    assert answer not in answers_to_requests(program, 40) and owner.opening_count == count
+    session.send_line("M 1")
+    assert server_side.read_line() == "M 1"
+    server_side.send_line(
         "M 1"
     )  # a line left without an answer would show a strained server, whose clients are moved
-    assert standing.read_line() == "M 1"
+    assert session.read_line() == "M 1"
     agents.do(agent, "lift", server)
     program.next_log_line("ready size=1 as passing")
-    assert word in words(program, 40, 100)
+    assert answer in answers_to_requests(program, 40, 100)
     for what in ("critical", "deregister"):
         agents.do(agent, what, server)
         program.next_log_line("draining" if what == "critical" else "gone")
-        standing.send_line(what)  # no word of the catalogue alone ends what stands
-        assert there.read_line() == what
-        there.send_line(what)
-        assert standing.read_line() == what
+        session.send_line(what)  # no word of the catalogue alone ends what stands
+        assert server_side.read_line() == what
+        server_side.send_line(what)
+        assert session.read_line() == what
 
 
 def test_agent_restart_with_a_lower_index_costs_no_server(
-    agents: Agents, beside: Callable[[Consul], Beside]
+    agents: Agents, start_consul_sidecar: Callable[[Consul], ConsulSidecar]
 ) -> None:
-    agent, servers = agents.new(), [StandInServer(f"UP {n}") for n in range(3)]
-    fleet(agents, agent, *servers)
-    program = beside(asked(agent))
-    standing = program.open_request()
-    assert standing.read_line().startswith("UP ")
+    agent, servers = agents.start_agent(), [StandInServer(f"UP {n}") for n in range(3)]
+    register_servers(agents, agent, *servers)
+    program = start_consul_sidecar(consul_config(agent))
+    session = program.open_request()
+    assert session.read_line().startswith("UP ")
     agents.do(agent, "stop")
     program.next_log_line("the last list stays in use")
-    assert set(words(program, 40)) == {"UP 0", "UP 1", "UP 2"}
+    assert set(answers_to_requests(program, 40)) == {"UP 0", "UP 1", "UP 2"}
     agents.do(agent, "go_back", index=1)
-    kept = agent.services["feeds"]
+    saved = agent.services["feeds"]
     agent.services["feeds"] = {}
     agents.do(agent, "start")
     program.next_log_line("answered again")
-    assert set(words(program, 40, 100)) == {"UP 0", "UP 1", "UP 2"}
-    agent.services["feeds"] = kept
+    assert set(answers_to_requests(program, 40, 100)) == {"UP 0", "UP 1", "UP 2"}
+    agent.services["feeds"] = saved
     agents.do(agent, "maintain", "s1")
     program.next_log_line("s1 draining")
-    assert set(words(program, 40, 200)) == {"UP 0", "UP 2"}
-    standing.send_line("M 1")
+    assert set(answers_to_requests(program, 40, 200)) == {"UP 0", "UP 2"}
+    session.send_line("M 1")
     assert program.process.poll() is None
 
 
 def test_errors_and_rotated_tokens_cost_nothing_and_fail_over(
-    agents: Agents, beside: Callable[[Consul], Beside], tmp_path: Path
+    agents: Agents, start_consul_sidecar: Callable[[Consul], ConsulSidecar], tmp_path: Path
 ) -> None:
-    first, second = agents.new(), agents.new()
+    first, second = agents.start_agent(), agents.start_agent()
     servers = [StandInServer("UP 0"), StandInServer("UP 1")]
     second.services = first.services
-    fleet(agents, first, *servers)
+    register_servers(agents, first, *servers)
     second.go_back(first.index)
     first.token = second.token = "old"
     (tmp_path / "token").write_text("old\n")
-    program = beside(asked(first, second, token_file=str(tmp_path / "token")))
-    assert set(words(program, 30)) == {"UP 0", "UP 1"}
-    for what, more in (("statuses", {"list": [500, 429]}), ("torn", {"count": 1})):
+    program = start_consul_sidecar(consul_config(first, second, token_file=str(tmp_path / "token")))
+    assert set(answers_to_requests(program, 30)) == {"UP 0", "UP 1"}
+    for what, options in (("statuses", {"list": [500, 429]}), ("torn", {"count": 1})):
         for agent in (first, second):  # whichever is asked by now
-            agents.do(agent, what, **more)
+            agents.do(agent, what, **options)
         for agent in (first, second):
             agents.do(agent, "passing", "s0")  # whoever waits is answered
         program.next_log_line("the last list stays in use")
@@ -193,11 +193,11 @@
     program.next_log_line("status 403")
     (tmp_path / "token").write_text("new\n")
     program.next_log_line("answered again")
-    assert set(words(program, 30, 100)) == {"UP 0", "UP 1"}
+    assert set(answers_to_requests(program, 30, 100)) == {"UP 0", "UP 1"}
     for agent in (first, second):
         agents.do(agent, "maintain", "s1")
     program.next_log_line("s1 draining")
-    assert set(words(program, 30, 200)) == {"UP 0"}
+    assert set(answers_to_requests(program, 30, 200)) == {"UP 0"}
     agents.do(first, "stop")
     for _ in range(2):
         agents.do(second, "lift", "s1")
@@ -205,15 +205,17 @@
     assert "fault" not in program.stop()
 
 
-def test_many_changes_are_applied_in_ticks(agents: Agents, beside: Callable[[Consul], Beside]) -> None:
-    agent, real = agents.new(), StandInServer()
+def test_many_changes_are_applied_in_ticks(
+    agents: Agents, start_consul_sidecar: Callable[[Consul], ConsulSidecar]
+) -> None:
+    agent, real = agents.start_agent(), StandInServer()
     members = {
         f"x{n}": Member(f"x{n}", f"127.0.{n // 250}.{n % 250 + 2}:9", maintenance=True) for n in range(2000)
     }
     members["s0"] = Member("s0", real.address)
     agent.services["feeds"] = members
     agent.touch("feeds")
-    program = beside(asked(agent))
+    program = start_consul_sidecar(consul_config(agent))
     assert program.open_request().read_line() == "UP r1"
 
     async def change() -> None:
@@ -222,32 +224,32 @@
             agent.touch("feeds")
             await asyncio.sleep(0.005)
 
-    began, before, answered = time.monotonic(), cpu(program), agent.answers
+    began, before, answered = time.monotonic(), cpu_seconds(program), agent.answers
     agents.run(change())
-    took = time.monotonic() - began
+    elapsed = time.monotonic() - began
     lists = agent.answers - answered
-    assert lists <= took / 0.1 + 2
-    assert cpu(program) - before < took  # a core is not full of it
-    assert words(program, 5) == ["UP r1"] * 5
+    assert lists <= elapsed / 0.1 + 2
+    assert cpu_seconds(program) - before < elapsed  # a core is not full of it
+    assert answers_to_requests(program, 5) == ["UP r1"] * 5
 
 
-def cpu(program: Program) -> float:
+def cpu_seconds(program: Program) -> float:
     fields = Path(f"/proc/{program.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / 100
 
 
 def test_agent_without_leader_is_asked_with_backoff(
-    agents: Agents, beside: Callable[[Consul], Beside]
+    agents: Agents, start_consul_sidecar: Callable[[Consul], ConsulSidecar]
 ) -> None:
-    agent, server = agents.new(), StandInServer()
-    fleet(agents, agent, server)
-    program = beside(asked(agent))
+    agent, server = agents.start_agent(), StandInServer()
+    register_servers(agents, agent, server)
+    program = start_consul_sidecar(consul_config(agent))
     assert program.open_request().read_line() == "UP r1"
     agents.do(agent, "no_leader")
     agents.do(agent, "passing", "s0")  # whoever waits is answered
     before, until = agent.answers, time.monotonic() + 3.0
     while time.monotonic() < until:
-        words(program, 1)
+        answers_to_requests(program, 1)
         time.sleep(0.05)
     assert agent.answers - before <= 6
     assert program.open_request().read_line() == "UP r1"
@@ -262,19 +264,19 @@
         str(tmp_path / "maps.toml"),
         "--consul=127.0.0.1:8500",
     ]
-    ran = CliRunner().invoke(main, options)
-    assert ran.exit_code == 2 and "consul.services" in ran.output
+    result = CliRunner().invoke(main, options)
+    assert result.exit_code == 2 and "consul.services" in result.output
     assert CliRunner().invoke(main, [*options, "--consul-service=feeds"]).exit_code == 0
-    ran = CliRunner().invoke(main, ["check", str(tmp_path / "maps.toml")])
-    assert ran.exit_code == 0, ran.output
-    ran = CliRunner().invoke(main, ["convert", str(tmp_path / "maps.toml"), "--discovery=10.2.0.1:8500"])
-    assert ran.exit_code == 2 and "consul" in ran.output
-    ran = CliRunner().invoke(main, [*options[:-1], "--server=s0=127.0.0.1:7501", "--consul-service=feeds"])
-    assert ran.exit_code == 2 and "--consul-service" in ran.output
+    result = CliRunner().invoke(main, ["check", str(tmp_path / "maps.toml")])
+    assert result.exit_code == 0, result.output
+    result = CliRunner().invoke(main, ["convert", str(tmp_path / "maps.toml"), "--discovery=10.2.0.1:8500"])
+    assert result.exit_code == 2 and "consul" in result.output
+    result = CliRunner().invoke(main, [*options[:-1], "--server=s0=127.0.0.1:7501", "--consul-service=feeds"])
+    assert result.exit_code == 2 and "--consul-service" in result.output
 
 
 def test_watch_prints_each_change_what_was_made_of_it_and_its_delay(agents: Agents, tmp_path: Path) -> None:
-    agent = agents.new()
+    agent = agents.start_agent()
     for n in range(4):
         agents.do(agent, "register", f"s{n}", address=f"127.0.0.1:{7000 + n}", zone="a")
     options = [
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 from tests.waiting import TEST_TIMEOUT
 
 
-class Stopped:
+class PausedProcess:
     """The program stands still meanwhile; what happens is there at once when it goes on, in its order."""
 
     def __init__(self, program: Program) -> None:
@@ -41,8 +41,8 @@
         self.program.process.send_signal(signal.SIGCONT)
 
 
-def ready(start_program: StartProgram, *servers: StandInServer, **more: Any) -> Program:
-    program = start_program(server_list(*servers), **more)
+def start_ready(start_program: StartProgram, *servers: StandInServer, **options: Any) -> Program:
+    program = start_program(server_list(*servers), **options)
     assert program.connect("PING").read_line() == "PONG"
     return program
 
@@ -51,24 +51,24 @@
     start_each_kind: StartProgram,
 ) -> None:
     server = StandInServer()
-    program = ready(start_each_kind, server)
-    with Stopped(program):
+    program = start_ready(start_each_kind, server)
+    with PausedProcess(program):
         for _ in range(3):
             program.open_request().close()
     assert program.open_request().read_line() == "UP r1" and server.connection_count == 1
     assert program.stop().count("end left") == 3
 
 
-HELD = """
+DELAYED_CONNECTION = """
 import select, sys
 from brambleplank.frontends.line.upstream_connections import LineUpstreamConnection
-made = LineUpstreamConnection.connectionMade
-def held(self):
-    LineUpstreamConnection.connectionMade = made
+original = LineUpstreamConnection.connectionMade
+def delayed(self):
+    LineUpstreamConnection.connectionMade = original
     print("the connection is up", file=sys.stderr, flush=True)
     select.select([self.client.transport.socket], [], [], 10)  # its client ends, and that is not read yet
-    made(self)
-LineUpstreamConnection.connectionMade = held
+    original(self)
+LineUpstreamConnection.connectionMade = delayed
 """
 
 
@@ -76,7 +76,7 @@
     start_program: StartProgram,
 ) -> None:
     server = StandInServer()
-    program = ready(start_program, server, patch=HELD)
+    program = start_ready(start_program, server, patch=DELAYED_CONNECTION)
     client = program.open_request()
     program.next_log_line("the connection is up")
     client.close()
@@ -92,15 +92,15 @@
         program.stop()
 
 
-IDLE_SOON = override("brambleplank.frontends.line.client_connections:FIRST_LINE_TIMEOUT", 0.3)
-READ_FOR_LONG = override("brambleplank.frontends.line.client_connections:SHORT_LINGER", 9)
+SHORT_FIRST_LINE_TIMEOUT = override("brambleplank.frontends.line.client_connections:FIRST_LINE_TIMEOUT", 0.3)
+LONG_LINGER = override("brambleplank.frontends.line.client_connections:SHORT_LINGER", 9)
 
 
 def test_opening_during_idle_close_is_neither_reset_nor_forwarded(
     start_program: StartProgram,
 ) -> None:
     server = StandInServer()
-    program = ready(start_program, server, patch=IDLE_SOON)
+    program = start_ready(start_program, server, patch=SHORT_FIRST_LINE_TIMEOUT)
     idle = program.connect()
     assert idle.read_line() == ""
     for n in range(3):  # one that was on its way; of a connection that was reset the next would fail
@@ -112,11 +112,11 @@
 def test_idle_client_is_answered_before_shutdown_ends(
     start_program: StartProgram,
 ) -> None:
-    program = ready(start_program, StandInServer())
-    resting = program.connect()
+    program = start_ready(start_program, StandInServer())
+    idle = program.connect()
     assert program.open_request().read_line() == "UP r1"
     program.process.send_signal(signal.SIGTERM)
-    assert (resting.read_line(), resting.read_line()) == ("BUSY", "")
+    assert (idle.read_line(), idle.read_line()) == ("BUSY", "")
     program.remaining_log()
     assert program.process.returncode == 0
 
@@ -127,12 +127,12 @@
 import os, signal
 from brambleplank.platform import configuration, run
 from brambleplank.platform.run import Program
-sound = {where}
-def told_to_end(*what):
+original = {where}
+def stopped(*what):
     os.kill(os.getpid(), signal.SIGTERM)
     os.kill(os.getpid(), signal.SIGTERM)
-    return sound(*what)
-{where} = told_to_end
+    return original(*what)
+{where} = stopped
 """
     program = start_program(server_list(StandInServer()), patch=patch)
     log = program.remaining_log()
@@ -140,7 +140,7 @@
     assert ("shutdown: drained" in log) == (where == "Program.begin")
 
 
-STOPPED_AMID_IMPORTS = """
+SIGTERM_DURING_IMPORTS = """
 import os, signal, sys
 class Stop:
     def find_spec(self, name, *_):
@@ -154,7 +154,7 @@
 
 
 def test_stop_during_the_imports_of_a_sidecar_exits_with_zero() -> None:
-    process = start_process(None, STOPPED_AMID_IMPORTS)
+    process = start_process(None, SIGTERM_DURING_IMPORTS)
     log = process.communicate(timeout=TEST_TIMEOUT)[1]
     assert process.returncode == 0 and log == ""
 
@@ -165,12 +165,12 @@
 import os, signal
 from brambleplank.sidecar import run
 from brambleplank.sidecar.run import Sidecar
-sound = {where}
-def told_to_end(*what):
+original = {where}
+def stopped(*what):
     os.kill(os.getpid(), signal.SIGTERM)
     os.kill(os.getpid(), signal.SIGTERM)
-    return sound(*what)
-{where} = told_to_end
+    return original(*what)
+{where} = stopped
 """
     program = start_sidecar(server_list(StandInServer()), patch=patch)
     log = program.remaining_log()
@@ -178,28 +178,28 @@
     assert where not in ("Sidecar.share", "Sidecar.listen") or "shutdown: drained" in log
 
 
-@pytest.mark.parametrize("held", ["listen", "peer_listen"])
-def test_start_waits_for_an_address_in_use(start_program: StartProgram, held: str) -> None:
+@pytest.mark.parametrize("setting", ["listen", "peer_listen"])
+def test_start_waits_for_an_address_in_use(start_program: StartProgram, setting: str) -> None:
     where = unused_address()
-    kind = socket.SOCK_STREAM if held == "listen" else socket.SOCK_DGRAM
-    before = socket.socket(socket.AF_INET, kind)
-    before.bind(where)
-    if held == "listen":
-        before.listen()
+    kind = socket.SOCK_STREAM if setting == "listen" else socket.SOCK_DGRAM
+    holder = socket.socket(socket.AF_INET, kind)
+    holder.bind(where)
+    if setting == "listen":
+        holder.listen()
     address = f"127.0.0.1:{where[1]}"
     settings = {**PLATFORM_SETTINGS, "policy_limits": {**PLATFORM_SETTINGS["policy_limits"], "peers": True}}
-    own = f"127.0.0.1:{unused_address()[1]}" if held == "listen" else address
+    own = f"127.0.0.1:{unused_address()[1]}" if setting == "listen" else address
     program = start_program(
         server_list(StandInServer()),
         settings=settings,
         peer_listen=own,
         peers=[own],
         peers_all="127.0.0.1:9",
-        **({"listen": address} if held == "listen" else {}),
+        **({"listen": address} if setting == "listen" else {}),
     )
     program.next_log_line("is in use, waiting")
-    before.close()
-    program.address = where if held == "listen" else program.address
+    holder.close()
+    program.address = where if setting == "listen" else program.address
     assert program.open_request().read_line() == "UP r1"
 
 
@@ -208,20 +208,20 @@
 ) -> None:
     one = StandInServer()
     other = StandInServer("UP r2")
-    least = "import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))"
-    program = start_program(server_list(one, other), limits={"sockets": 64}, patch=least)
+    low_limit = "import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))"
+    program = start_program(server_list(one, other), limits={"sockets": 64}, patch=low_limit)
     program.discovery.requests.get(timeout=15)  # and no answer: it is down
-    crowd = [program.connect() for _ in range(150)]
+    idle_clients = [program.connect() for _ in range(150)]
     for _ in range(3):
         program.discovery.requests.get(timeout=15)
-    crowd += [program.connect() for _ in range(150)]
+    idle_clients += [program.connect() for _ in range(150)]
     _, watch = program.discovery.accept_watch()
     StandInDiscovery.send_text(watch, json.dumps(endpoint_list(42, False, s0=(one.address, "draining"))))
-    started = time.monotonic()
+    started_at = time.monotonic()
     while (
         program.open_request("ab").read_line() != "UP r2" or program.open_request("cd").read_line() != "UP r2"
     ):
-        assert time.monotonic() < started + 3.0
+        assert time.monotonic() < started_at + 3.0
     assert "fault" not in program.stop()
 
 
@@ -233,31 +233,31 @@
         limits={"sockets": 64},
         settings={**PLATFORM_SETTINGS, "az": "a", "policy_limits": limits},
     )
-    until = time.monotonic() + 2.5  # all are probed by then, if they may
-    heard: list[str] = []
-    while time.monotonic() < until:
+    ends_at = time.monotonic() + 2.5  # all are probed by then, if they may
+    answers: list[str] = []
+    while time.monotonic() < ends_at:
         client = program.open_request()
-        heard.append(client.read_line())
+        answers.append(client.read_line())
         with suppress(OSError):
             client.close()
-    assert set(heard) == {"UP r1"}
+    assert set(answers) == {"UP r1"}
 
 
 def test_shutdown_waits_for_clients_that_read_their_answer(start_program: StartProgram) -> None:
-    program = ready(start_program, StandInServer(), patch=READ_FOR_LONG)
-    bad = program.connect("frob")
-    assert bad.read_line() == "ERR"
+    program = start_ready(start_program, StandInServer(), patch=LONG_LINGER)
+    invalid_client = program.connect("frob")
+    assert invalid_client.read_line() == "ERR"
     program.process.send_signal(signal.SIGTERM)
     with pytest.raises(subprocess.TimeoutExpired):
         program.process.wait(1.2)  # nobody else is there, and clients may come for 0.5 s
-    bad.close()
+    invalid_client.close()
     assert program.process.wait(TEST_TIMEOUT) == 0
 
 
 def test_nine_in_ten_of_thirty_processes_started_at_once_are_ready_in_time(tmp_path: Path) -> None:
     server = StandInServer()
     programs = list[Program]()
-    began = time.monotonic()
+    started_at = time.monotonic()
     try:
         for n in range(30):
             (tmp_path / str(n)).mkdir()
@@ -266,9 +266,9 @@
             )  # discovery is there and says nothing
         in_time = 0
         for program in programs:
-            while (heard := program.connect("PING").read_line()) != "PONG":
-                assert heard == "NO"
-            in_time += time.monotonic() < began + 10.0
+            while (answers := program.connect("PING").read_line()) != "PONG":
+                assert answers == "NO"
+            in_time += time.monotonic() < started_at + 10.0
         assert in_time >= 27  # the operators ask for nine in ten within 10 s
     finally:
         for program in programs:
@@ -281,14 +281,14 @@
     program = start_program(endpoint_list(41, True, s0=silent.address))
     client = program.open_request(extra_fields=",at=s0")
     silent.next_opening()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     program.process.send_signal(signal.SIGTERM)
     assert client.read_line() == "FAIL"
     assert program.process.wait(TEST_TIMEOUT) == 0
-    assert time.monotonic() - begun < 3.7
+    assert time.monotonic() - started_at < 3.7
 
 
-RAISES_ONCE = """
+FAILING_FIRST_CONNECTION = """
 from brambleplank.frontends.line import client_connections
 begin, raised = client_connections.LineClientConnection.connectionMade, []
 def once(self):
@@ -301,7 +301,9 @@
 
 
 def test_connection_that_fails_at_its_begin_costs_no_other(start_program: StartProgram) -> None:
-    program = start_program(endpoint_list(41, True, s0=StandInServer().address), patch=RAISES_ONCE)
+    program = start_program(
+        endpoint_list(41, True, s0=StandInServer().address), patch=FAILING_FIRST_CONNECTION
+    )
     first = program.connect()
     assert first.read_line() in ("", "reset")
     assert [program.open_request(f"{key:x}").read_line() for key in range(20)] == ["UP r1"] * 20
@@ -310,20 +312,20 @@
 
 def test_reload_with_an_address_in_use_blocks_no_client(start_program: StartProgram) -> None:
     limits = {**PLATFORM_SETTINGS["policy_limits"], "peers": True}
-    taken = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    taken.bind(("127.0.0.1", 0))
-    here = f"127.0.0.1:{taken.getsockname()[1]}"
+    holder = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    holder.bind(("127.0.0.1", 0))
+    peer_address = f"127.0.0.1:{holder.getsockname()[1]}"
     program = start_program(
         endpoint_list(41, True, s0=StandInServer().address),
-        peer_listen=here,
+        peer_listen=peer_address,
         peers=["127.0.0.1:9", "127.0.0.1:10"],
         peers_all="127.0.0.1:10",
         settings={**PLATFORM_SETTINGS, "balancers": 2},
     )
     assert program.open_request().read_line() == "UP r1"
-    begun = time.monotonic()
+    started_at = time.monotonic()
     program.reload(settings={**PLATFORM_SETTINGS, "balancers": 2, "policy_limits": limits})
     assert program.open_request().read_line() == "UP r1"
-    assert time.monotonic() - begun < 2.0
+    assert time.monotonic() - started_at < 2.0
     program.next_log_line("reload: peer_listen")
-    taken.close()
+    holder.close()
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -37,9 +37,9 @@
     one = StandInServer("UP one")
     other = StandInServer("UP other")
     program = start_each_kind(server_list(one, other))
-    standing = program.open_request("ab")
-    owner = one if standing.read_line() == "UP one" else other
-    there = owner.next_opening()[1]
+    session = program.open_request("ab")
+    owner = one if session.read_line() == "UP one" else other
+    server_side = owner.next_opening()[1]
     program.send_endpoints(
         **{
             name: (each.address, "draining" if each is owner else "ready")
@@ -48,60 +48,64 @@
     )
     until = time.monotonic() + 1.05  # the window, and what sockets may add
     while time.monotonic() < until:
-        caller = program.open_request("ab")
-        assert caller.read_line().startswith("UP ")
-        caller.close()
+        client = program.open_request("ab")
+        assert client.read_line().startswith("UP ")
+        client.close()
     count = owner.opening_count
     assert {program.open_request("ab").read_line() for _ in range(20)} == {
         "UP other" if owner is one else "UP one"
     }
     assert owner.opening_count == count
-    standing.send_line("M 1")
-    assert there.read_line() == "M 1"
+    session.send_line("M 1")
+    assert server_side.read_line() == "M 1"
 
 
-@pytest.mark.parametrize("broken", ["status", "cut", "garbled", "lacking", "silent", "refused"])
-def test_broken_watch_is_reopened_and_the_list_stays_in_use(start_program: StartProgram, broken: str) -> None:
+@pytest.mark.parametrize("failure", ["status", "cut", "garbled", "lacking", "silent", "refused"])
+def test_broken_watch_is_reopened_and_the_list_stays_in_use(
+    start_program: StartProgram, failure: str
+) -> None:
     server = StandInServer()
     program = start_program(server_list(server))
-    if broken == "status":
+    if failure == "status":
         line = program.discovery.requests.get(timeout=15)[1]
         line.socket.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
     else:
         _, line = program.discovery.accept_watch()
-        if broken == "cut":
+        if failure == "cut":
             line.socket.sendall(b'20\r\n{"seq":42,"whole":tr')
             line.close()
-        elif broken == "garbled":
+        elif failure == "garbled":
             StandInDiscovery.send_text(line, '{"seq":42,]')
-        elif broken == "lacking":
+        elif failure == "lacking":
             StandInDiscovery.send_text(
                 line, '{"seq":42,"whole":true,"hosts":[{"host":"s9","health":"ready"}]}'
             )
-        elif broken == "refused":
+        elif failure == "refused":
             line.close(reset=True)
-    again, watch = program.discovery.accept_watch()
-    assert again.startswith("GET /discovery/hosts?watch=1&from=41 ")
+    request_line, watch = program.discovery.accept_watch()
+    assert request_line.startswith("GET /discovery/hosts?watch=1&from=41 ")
     assert program.open_request().read_line() == "UP r1"
     other = StandInServer("UP r2")
     StandInDiscovery.send_text(watch, json.dumps(server_list(other, seq=50)))
     assert "list: " in program.stop()
 
 
-SOON = override("brambleplank.discovery.platform.discovery:LINE_TIMEOUT", 0.3)
+SHORT_LINE_TIMEOUT = override("brambleplank.discovery.platform.discovery:LINE_TIMEOUT", 0.3)
 
 
-LEFT = 6.0 - 4.3  # seconds after a watch is found silent in which what it missed must have been asked for
+MAX_REQUEST_DELAY = (
+    6.0 - 4.3
+)  # seconds after a watch is found silent in which what it missed must have been asked for
 
 
 def test_silent_watch_is_replaced_in_time(
     start_program: StartProgram,
 ) -> None:
     server = StandInServer()
-    program = start_program(server_list(server), patch=SOON)
+    program = start_program(server_list(server), patch=SHORT_LINE_TIMEOUT)
     program.discovery.accept_watch()
     for silence in ("watch", "watch", "watch", "agent", "agent", "watch"):
-        first, line = program.discovery.requests.get(timeout=0.3 + LEFT)
+        first, line = program.discovery.requests.get(timeout=0.3 + MAX_REQUEST_DELAY)
         assert first.startswith("GET /discovery/hosts?watch=1&from=41 ")
         if silence == "watch":  # open, with nothing to tell
             line.socket.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
@@ -126,20 +130,24 @@
 def test_reload_follows_the_new_discovery_and_keeps_sessions(
     start_program: StartProgram,
 ) -> None:
-    program, server, client, there = start_with_session(start_program)
+    program, server, client, server_side = start_with_session(start_program)
     _, old = program.discovery.accept_watch()
-    for turn in range(3):  # each time the address is another one, and the file as a whole is written anew
+    for round_number in range(
+        3
+    ):  # each time the address is another one, and the file as a whole is written anew
         new = StandInDiscovery()
         assert "taken up: discovery\n" in program.reload(discovery=new.address)
         first, watch = new.accept_watch()
         assert first == "GET /discovery/hosts?watch=1 HTTP/1.1"
         with suppress(OSError):
-            StandInDiscovery.send_text(old, json.dumps(endpoint_list(90 + turn, True)))
-        StandInDiscovery.send_text(watch, json.dumps(endpoint_list(42 + turn, True, s0=server.address)))
+            StandInDiscovery.send_text(old, json.dumps(endpoint_list(90 + round_number, True)))
+        StandInDiscovery.send_text(
+            watch, json.dumps(endpoint_list(42 + round_number, True, s0=server.address))
+        )
         old = watch
         client.send_line("M 1")
-        assert there.read_line() == "M 1"
-        there.send_line("M 1")  # a line left without an answer would show a strained server
+        assert server_side.read_line() == "M 1"
+        server_side.send_line("M 1")  # a line left without an answer would show a strained server
         assert client.read_line() == "M 1"
         assert program.open_request().read_line() == "UP r1"
     log = program.stop().partition("shutdown: ")[0]
@@ -167,8 +175,8 @@
     assert [program.open_request(key).read_line() for key in "abcdef12"] == [
         "UP r2"
     ] * 8 and one.opening_count == before
-    again, watch = new.accept_watch()
-    assert "from" not in again
+    request_line, watch = new.accept_watch()
+    assert "from" not in request_line
     StandInDiscovery.send_text(watch, json.dumps(server_list(one)))
     while program.open_request("ab").read_line() != "UP r1":
         pass
@@ -190,7 +198,7 @@
 def test_wrong_new_file_is_named_by_its_key_and_changes_nothing(
     start_program: StartProgram,
 ) -> None:
-    program, _, client, there = start_with_session(start_program)
+    program, _, client, server_side = start_with_session(start_program)
     _, watch = program.discovery.accept_watch()
     assert "is not JSON" in program.reload('{"name": ')
     assert "discovery: need an address" in program.reload(discovery="nowhere")
@@ -199,7 +207,7 @@
     log = program.reload(limits={"sockets": 300}, name="n2", seed="2f")
     assert "taken up: limits.sockets; wait for a restart: name, seed" in log
     client.send_line("M 1")
-    assert there.read_line() == "M 1"
+    assert server_side.read_line() == "M 1"
     StandInDiscovery.send_text(watch, "")  # it goes on; silent for longer, it would be asked for anew
     program.process.send_signal(signal.SIGTERM)
     assert "is not JSON" in program.reload("[")
--- a/tests/test_list_told.py
+++ b/tests/test_list_told.py
@@ -11,42 +11,42 @@
 
 import pytest
 
-from brambleplank.discovery.platform import discovery as source
+from brambleplank.discovery.platform import discovery as discovery_module
 from tests.overrides import override
 from tests.programs import Program
 from tests.sample_settings import PLATFORM_SETTINGS, endpoint_list
 from tests.stand_ins import LineConnection, StandInDiscovery, StandInServer
 from tests.test_sockets import StartProgram, server_list
 
-COUNTS_AFTER = 6.0  # seconds after which a change counts as told
-SOON = override("brambleplank.discovery.platform.discovery:LINE_TIMEOUT", 0.3)
+MAX_PROPAGATION_TIME = 6.0  # seconds after which a change counts as told
+SHORT_LINE_TIMEOUT = override("brambleplank.discovery.platform.discovery:LINE_TIMEOUT", 0.3)
 
 
-def drip(line: LineConnection, byte: bytes = b" ") -> None:
+def trickle(line: LineConnection, byte: bytes = b" ") -> None:
     """Bytes of a line that never ends, until nobody reads them any more."""
 
-    def go_on() -> None:
+    def send_bytes() -> None:
         with suppress(OSError):
             while not line.is_closed(within=0.05):
                 line.socket.sendall(b"1\r\n" + byte + b"\r\n")
 
-    threading.Thread(target=go_on, daemon=True).start()
+    threading.Thread(target=send_bytes, daemon=True).start()
 
 
-def head(line: LineConnection) -> None:
+def send_headers(line: LineConnection) -> None:
     line.socket.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
 
 def test_dripping_watch_is_replaced(
     start_program: StartProgram,
 ) -> None:
-    program = start_program(server_list(StandInServer()), patch=SOON)
+    program = start_program(server_list(StandInServer()), patch=SHORT_LINE_TIMEOUT)
     _, line = program.discovery.requests.get(timeout=15)
-    head(line)
-    drip(line)  # no whole list ever comes
+    send_headers(line)
+    trickle(line)  # no whole list ever comes
     started = time.monotonic()
     _, watch = program.discovery.accept_watch()
-    drip(watch)  # a first line has come, and nothing whole since
+    trickle(watch)  # a first line has come, and nothing whole since
     assert program.discovery.requests.get(timeout=15)[0].startswith("GET /discovery/hosts?watch=1&from=41 ")
     assert time.monotonic() < started + 3.0
     assert program.open_request().read_line() == "UP r1"
@@ -57,11 +57,11 @@
     program = start_program(server_list(one, other))
     _, silent = program.discovery.accept_watch()
     drained = time.monotonic()  # right after a line; nothing whole comes on this watch any more
-    threading.Timer(2.9, drip, [silent]).start()
+    threading.Timer(2.9, trickle, [silent]).start()
     program.discovery.requests.get(timeout=15)[1].close(reset=True)
     _, dripping = program.discovery.requests.get(timeout=15)
-    head(dripping)
-    drip(dripping, b"{")
+    send_headers(dripping)
+    trickle(dripping, b"{")
     program.discovery.requests.get(timeout=15)  # silent; it is given up
     _, watch = program.discovery.accept_watch()
     StandInDiscovery.send_text(watch, json.dumps(endpoint_list(42, False, s0=(one.address, "draining"))))
@@ -69,7 +69,7 @@
         program.open_request("ab").read_line() != "UP r2" or program.open_request("cd").read_line() != "UP r2"
     ):
         pass
-    assert time.monotonic() < drained + COUNTS_AFTER
+    assert time.monotonic() < drained + MAX_PROPAGATION_TIME
 
 
 def test_request_that_a_returning_agent_does_not_answer_is_repeated_beside_it(
@@ -92,7 +92,7 @@
     assert program.stop().count("list: ") <= 1
 
 
-def turned(
+def start_with_deferred_list(
     start_program: StartProgram, *servers: StandInServer
 ) -> tuple[Program, StandInDiscovery, LineConnection]:
     """A program that has a list of version 50, with a drain, and is told the older one of 41 elsewhere."""
@@ -111,14 +111,14 @@
 def test_outdated_list_is_requested_whole_if_its_watch_breaks(
     start_program: StartProgram,
 ) -> None:
-    _, new, watch = turned(start_program, StandInServer(), StandInServer("UP r2"))
+    _, new, watch = start_with_deferred_list(start_program, StandInServer(), StandInServer("UP r2"))
     watch.close(reset=True)
     assert new.accept_watch()[0] == "GET /discovery/hosts?watch=1 HTTP/1.1"
 
 
 def test_changes_to_an_outdated_list_are_applied_with_it(start_program: StartProgram) -> None:
     one, other, third = StandInServer(), StandInServer("UP r2"), StandInServer("UP r3")
-    program, _, watch = turned(start_program, one, other)
+    program, _, watch = start_with_deferred_list(start_program, one, other)
     StandInDiscovery.send_text(watch, json.dumps(endpoint_list(45, False, s1=(other.address, "draining"))))
     StandInDiscovery.send_text(
         watch, json.dumps(endpoint_list(51, False, s2=third.address, s0=(one.address, "draining")))
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "malformed",
     [
         '"dial":"127.0.0.1:99999"',
         '"dial":":80"',
@@ -142,23 +142,30 @@
         '"hosts":[[]]',
     ],
 )
-def test_garbled_list_changes_nothing_and_is_requested_again(start_program: StartProgram, wrong: str) -> None:
+def test_garbled_list_changes_nothing_and_is_requested_again(
+    start_program: StartProgram, malformed: str
+) -> None:
     server = StandInServer()
     program = start_program(server_list(server))
     _, watch = program.discovery.accept_watch()
     text = json.dumps(server_list(seq=42))[:-1].replace(
         "[]", json.dumps(endpoint_list(1, True, s9=server.address)["hosts"])
     )
-    key = wrong.partition(":")[0]
+    key = malformed.partition(":")[0]
     at = text.find(key)
-    text = text[:at] + wrong + text[min(n for n in (text.find(",", at), text.find("}", at)) if n > 0) :] + "}"
-    StandInDiscovery.send_text(watch, text + ("]" * 100_000 + "}" if "[" * 9 in wrong else ""))
+    text = (
+        text[:at]
+        + malformed
+        + text[min(n for n in (text.find(",", at), text.find("}", at)) if n > 0) :]
+        + "}"
+    )
+    StandInDiscovery.send_text(watch, text + ("]" * 100_000 + "}" if "[" * 9 in malformed else ""))
     assert program.discovery.accept_watch()[0].startswith("GET /discovery/hosts?watch=1&from=41 ")
     assert program.open_request().read_line() == "UP r1"
     assert "fault" not in program.stop()
 
 
-class Timer:
+class InactiveTimer:
     def active(self) -> bool:
         return False
 
@@ -166,13 +173,13 @@
 def test_indented_list_is_parsed_once(monkeypatch: pytest.MonkeyPatch) -> None:
     parsed: list[bytes] = []
     monkeypatch.setattr("brambleplank.discovery.platform.discovery.json.loads", parsed.append)
-    clock = SimpleNamespace(now=lambda: 0.0, call_after_reads=lambda *_: Timer())
-    follower: Any = SimpleNamespace(
+    clock = SimpleNamespace(now=lambda: 0.0, call_after_reads=lambda *_: InactiveTimer())
+    discovery: Any = SimpleNamespace(
         proxy=SimpleNamespace(clock=clock), requested_at=0.0, list_received=lambda encoded: None
     )
-    follower.watch_failed = pytest.fail
-    follower.heartbeat_received = lambda: None
-    watch = follower.watch = source.Watch(follower)
+    discovery.watch_failed = pytest.fail
+    discovery.heartbeat_received = lambda: None
+    watch = discovery.watch = discovery_module.Watch(discovery)
     watch.transport = SimpleNamespace(disconnecting=False)
     watch.connectionMade()
     hosts = {f"s{n}": "127.0.0.1:80" for n in range(300)}
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -39,22 +39,22 @@
 ) -> None:
     server = StandInServer()
     program = start_program(endpoint_list(0, True))
-    front = program.connect("PING")
-    assert front.read_line() == "NO"
+    ping_client = program.connect("PING")
+    assert ping_client.read_line() == "NO"
     first, watch = program.discovery.accept_watch()
     assert first == "GET /discovery/hosts?watch=1&from=0 HTTP/1.1"
     StandInDiscovery.send_text(watch, json.dumps(server_list(server)))
     client = program.open_request(extra_fields=",h=12,again=1")
     assert client.read_line() == "UP r1"
-    front.send_line("PING")
-    assert front.read_line() == "PONG"
-    line, there = server.next_opening()
+    ping_client.send_line("PING")
+    assert ping_client.read_line() == "PONG"
+    line, server_side = server.next_opening()
     assert line == "OPEN 9b1f03aa5c7e0001 7f c=feed,t=acme,d=300,h=12,again=1"
     client.send_line("M 1")
-    assert there.read_line() == "M 1"
-    there.send_line("LOAD 0.5")
-    there.send_line("BYE")
-    there.close()
+    assert server_side.read_line() == "M 1"
+    server_side.send_line("LOAD 0.5")
+    server_side.send_line("BYE")
+    server_side.close()
     assert [client.read_line() for _ in range(3)] == ["LOAD 0.5", "BYE", ""]
     assert "end bye 9b1f03aa5c7e0001 server=s0 connects=1" in program.stop()
 
@@ -65,25 +65,25 @@
     client = program.connect()
     for byte in b"OPEN 1a 7f c=feed,t=acme,d=1500\r\nM":
         client.socket.sendall(bytes([byte]))
-    line, there = server.next_opening()
+    line, server_side = server.next_opening()
     assert line.startswith("OPEN 1a 7f ")
-    there.send_line("UP r7")
+    server_side.send_line("UP r7")
     assert client.read_line() == "UP r7"
     client.send_line(" 2")
-    assert there.read_line() == "M 2"
-    there.socket.sendall(b"half a li")
-    there.socket.sendall(b"ne\r\n")
+    assert server_side.read_line() == "M 2"
+    server_side.socket.sendall(b"half a li")
+    server_side.socket.sendall(b"ne\r\n")
     assert client.read_line() == "half a line"
 
 
 def test_busy_or_refusing_server_costs_one_further_attempt(start_each_kind: StartProgram) -> None:
-    full = StandInServer("BUSY")
-    shut = StandInServer()
-    good = StandInServer()
-    shut.close()
-    program = start_each_kind(server_list(full, shut, good))
+    busy = StandInServer("BUSY")
+    refusing = StandInServer()
+    ready = StandInServer()
+    refusing.close()
+    program = start_each_kind(server_list(busy, refusing, ready))
     assert [program.open_request(key).read_line() for key in "abcdef"] == ["UP r1"] * 6
-    assert good.opening_count == 6 and full.opening_count
+    assert ready.opening_count == 6 and busy.opening_count
 
 
 def test_rejected_client_is_told_when_to_retry(start_each_kind: StartProgram) -> None:
@@ -95,16 +95,16 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "client_hears"), [("", "FAIL"), ("ERR", "FAIL"), ("TEAPOT", "FAIL"), ("BUSY", "BUSY")]
+    ("answer", "expected_answer"), [("", "FAIL"), ("ERR", "FAIL"), ("TEAPOT", "FAIL"), ("BUSY", "BUSY")]
 )
 def test_non_idempotent_request_that_may_have_run_is_aborted(
-    start_each_kind: StartProgram, answer: str, client_hears: str
+    start_each_kind: StartProgram, answer: str, expected_answer: str
 ) -> None:
     one = StandInServer(answer)
     other = StandInServer(answer)
     program = start_each_kind(server_list(one, other))
     client = program.open_request(traffic_class="order")
-    assert client.read_line().split()[0] == client_hears
+    assert client.read_line().split()[0] == expected_answer
     assert one.opening_count + other.opening_count == (3 if answer == "BUSY" else 1)
 
 
@@ -127,7 +127,7 @@
 def test_sigterm_migrates_sessions_answers_new_clients_and_exits_with_zero(
     start_each_kind: StartProgram,
 ) -> None:
-    program, server, client, there = start_with_session(start_each_kind)
+    program, server, client, server_side = start_with_session(start_each_kind)
     program.process.send_signal(signal.SIGTERM)
     late = program.open_request()
     assert late.read_line() == "UP r1"
@@ -135,27 +135,27 @@
         late.read_line(),
         late.read_line(),
     ) == ("MOVE", "")
-    assert there.read_line() == ""
+    assert server_side.read_line() == ""
     log = program.remaining_log()
     assert program.process.returncode == 0 and log.count("end moved") == 2
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_end_is_passed_on_in_kind_after_all_lines(start_each_kind: StartProgram, reset: bool) -> None:
-    program, server, client, there = start_with_session(start_each_kind)
+    program, server, client, server_side = start_with_session(start_each_kind)
     client.send_line("M 1")
-    assert there.read_line() == "M 1"
+    assert server_side.read_line() == "M 1"
     client.close(reset)
-    assert there.read_line() == ("reset" if reset else "")
+    assert server_side.read_line() == ("reset" if reset else "")
     client = program.open_request()
     assert client.read_line() == "UP r1"
-    there = server.next_opening()[1]
-    there.send_line("the last line")
-    there.socket.sendall(b"and half")
-    there.send_line("")
-    there.socket.sendall(b"a line")
+    server_side = server.next_opening()[1]
+    server_side.send_line("the last line")
+    server_side.socket.sendall(b"and half")
+    server_side.send_line("")
+    server_side.socket.sendall(b"a line")
     assert (client.read_line(), client.read_line()) == ("the last line", "and half")
-    there.close(reset)
+    server_side.close(reset)
     assert client.read_line() == ("reset" if reset else "a line")
     assert "end broke" in program.stop()
 
@@ -163,15 +163,15 @@
 def test_proxy_serves_and_stops_without_a_reader_of_its_log(
     start_each_kind: StartProgram,
 ) -> None:
-    program, server, client, there = start_with_session(start_each_kind)
+    program, server, client, server_side = start_with_session(start_each_kind)
     assert program.process.stderr
     program.process.stderr.close()
     for key in "abc":
-        caller = program.open_request(key)
-        assert caller.read_line() == "UP r1"
-        caller.close()
+        other_client = program.open_request(key)
+        assert other_client.read_line() == "UP r1"
+        other_client.close()
     client.send_line("M 1")
-    assert there.read_line() == "M 1"
+    assert server_side.read_line() == "M 1"
     program.process.send_signal(signal.SIGTERM)
     assert client.read_line() == "MOVE"
     assert program.process.wait(15) == 0
@@ -180,48 +180,48 @@
 def test_session_at_a_silent_server_is_migrated_within_seven_seconds(
     start_each_kind: StartProgram,
 ) -> None:
-    _, _, client, there = start_with_session(start_each_kind)
+    _, _, client, server_side = start_with_session(start_each_kind)
     client.socket.settimeout(7.0)
     client.send_line("M 1")
-    assert there.read_line() == "M 1" and client.read_line() == "MOVE"
+    assert server_side.read_line() == "M 1" and client.read_line() == "MOVE"
 
 
 @pytest.mark.parametrize("call", ["place", "attempt_established", "attempt_ended"])
 def test_exception_costs_one_connection(start_each_kind: StartProgram, call: str) -> None:
     patch = f"""
 from brambleplank.decisions.balancer import Balancer
-sound = Balancer.{call}
+original = Balancer.{call}
 def faulty(self, *what):
-    Balancer.{call} = sound
-    raise ValueError("made for this story")
+    Balancer.{call} = original
+    raise ValueError("injected by the test")
 Balancer.{call} = faulty
 """
     one, other = (StandInServer("BUSY" if call == "attempt_ended" else "UP r1") for _ in range(2))
     program = start_each_kind(server_list(one, other), patch=patch)
     first = program.open_request()
-    heard = [first.read_line()]
-    while heard[-1] not in ("", "reset"):
-        heard.append(first.read_line())
-    assert heard[0] == ("UP r1" if call == "attempt_established" else "FAIL") and len(heard) == 2
+    lines = [first.read_line()]
+    while lines[-1] not in ("", "reset"):
+        lines.append(first.read_line())
+    assert lines[0] == ("UP r1" if call == "attempt_established" else "FAIL") and len(lines) == 2
     one.answer = "UP r1"
     other.answer = "UP r1"
     assert program.open_request().read_line() == "UP r1"
-    said = program.stop()
-    assert said.count("fault ValueError") == 1 and "Traceback" not in said
+    log = program.stop()
+    assert log.count("fault ValueError") == 1 and "Traceback" not in log
 
 
 def test_session_from_before_the_start_is_resumed_at_its_server(start_each_kind: StartProgram) -> None:
     one = StandInServer()
     other = StandInServer()
     program = start_each_kind(server_list(one, other))
-    for flow, (name, server) in enumerate((("s0", one), ("s1", other)), 1):
+    for number, (name, server) in enumerate((("s0", one), ("s1", other)), 1):
         assert program.open_request(extra_fields=f",at={name}").read_line() == "UP r1"
-        assert server.next_opening()[0] == f"OPEN 9b1f03aa5c7e000{flow} 7f c=feed,t=acme,d=1500,at={name}"
-    stranger = program.open_request(extra_fields=",at=s9")
-    assert stranger.read_line() == "FAIL" and stranger.read_line() == ""
+        assert server.next_opening()[0] == f"OPEN 9b1f03aa5c7e000{number} 7f c=feed,t=acme,d=1500,at={name}"
+    unknown = program.open_request(extra_fields=",at=s9")
+    assert unknown.read_line() == "FAIL" and unknown.read_line() == ""
 
 
-def test_resumed_session_is_dialled_until_its_server_is_reached(
+def test_resumed_session_is_retried_until_its_server_is_reached(
     start_program: StartProgram,
 ) -> None:
     late = unused_address()
