--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what the program speaks to, on loopback: servers, discovery, and a client's connection."""
+"""Stand-ins on loopback for the peers of the program: clients, servers and discovery."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LineConnection:
-    """One end of a connection, read by lines."""
+    """One end of a line-based connection."""
 
     def __init__(self, connected: socket.socket) -> None:
         self.socket = connected
@@ -24,18 +24,21 @@
         self.file = connected.makefile("rb")
 
     def send_line(self, line: str) -> None:
-        """Sends a line and its end."""
+        """Sends a line with its CRLF."""
         self.socket.sendall(line.encode() + b"\r\n")
 
     def read_line(self) -> str:
-        """Returns the next line; "" at the end of the connection, "reset" if it was reset."""
+        """Returns the next line; "" at the end of the stream, "reset" after a reset."""
         try:
             return self.file.readline().decode().rstrip("\r\n")
         except ConnectionResetError:
             return "reset"
 
     def is_closed(self, within: float = 0.0) -> bool:
-        """Whether the other side has closed it or does so in that many seconds, all lines being read."""
+        """Whether the other side has closed the connection, or closes it within that many seconds.
+
+        All lines must have been read before the call.
+        """
         poller = select.poll()
         poller.register(self.socket, select.POLLIN)
         with suppress(OSError):
@@ -43,7 +46,7 @@
         return True
 
     def close(self, reset: bool = False) -> None:
-        """Closes it, or resets it."""
+        """Closes or resets the connection."""
         if reset:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         else:
@@ -53,9 +56,9 @@
 
 
 class StandInServer:
-    """A server: it answers each OPEN with `answer`, then gives the connection to the test.
+    """A server that answers each OPEN with `answer` and then hands the connection to the test.
 
-    An answer of None is silence; one of "" closes the connection.
+    If `answer` is None, it sends nothing; if it is "", it closes the connection.
     """
 
     def __init__(self, answer: str | None = "UP r1", at: tuple[str, int] = ("127.0.0.1", 0)) -> None:
@@ -64,11 +67,11 @@
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         self.openings: queue.Queue[tuple[str, LineConnection]] = queue.Queue()
         self.opening_count = 0
-        self.connection_count = 0  # whether or not an opening came
+        self.connection_count = 0  # of all accepted connections, with an OPEN or without
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self) -> None:
-        """Serves each connection in a thread of its own."""
+        """Accepts connections, and serves each in its own thread."""
         with suppress(OSError):
             while True:
                 connection = LineConnection(self.listener.accept()[0])
@@ -76,7 +79,7 @@
                 threading.Thread(target=self.serve, args=[connection], daemon=True).start()
 
     def serve(self, connection: LineConnection) -> None:
-        """Answers one connection's opening."""
+        """Reads the OPEN line of a connection and answers it."""
         opening = connection.read_line()
         if not opening.startswith("OPEN "):
             return
@@ -88,17 +91,17 @@
         self.openings.put((opening, connection))
 
     def next_opening(self) -> tuple[str, LineConnection]:
-        """Returns the next opening and its connection; waits for it."""
+        """Waits for the next OPEN; returns the line and its connection."""
         return self.openings.get(timeout=TEST_TIMEOUT)
 
     def close(self) -> None:
-        """Stops listening; connections stay."""
-        self.listener.shutdown(socket.SHUT_RDWR)  # a thread that waits in accept would keep it open
+        """Stops listening; open connections are kept."""
+        self.listener.shutdown(socket.SHUT_RDWR)  # wakes the thread in accept, which would keep the port open
         self.listener.close()
 
 
 class StandInDiscovery:
-    """Discovery: each watch stays open and gets what the test sends."""
+    """Discovery; each watch stays open, and the test sends lists on it."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -107,7 +110,7 @@
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self) -> None:
-        """Reads the head of each request, one after another."""
+        """Accepts connections and reads the request headers of each in turn."""
         with suppress(OSError):
             while True:
                 connection = LineConnection(self.listener.accept()[0])
@@ -117,14 +120,14 @@
                 self.requests.put((request_line, connection))
 
     def accept_watch(self) -> tuple[str, LineConnection]:
-        """Returns the next request for a watch, answered as discovery does: at once, with what has changed.
+        """Waits for the next request for a watch; returns its request line and its connection.
 
-        A request for the whole list is left for the test to answer.
+        Answers at once, as discovery does: with the headers, and with an empty list of changes if the request
+        names a version. The test sends the whole list if that was requested.
         """
         request_line, connection = self.requests.get(timeout=TEST_TIMEOUT)
-        while (
-            connection.is_closed()
-        ):  # nobody waits for its answer any more: it came too late, on a busy machine
+        # Skips requests that timed out before they were read here, on a busy machine.
+        while connection.is_closed():
             request_line, connection = self.requests.get(timeout=TEST_TIMEOUT)
         connection.socket.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         if since := re.search(r"from=(\d+)", request_line):
@@ -133,5 +136,5 @@
 
     @staticmethod
     def send_text(watch: LineConnection, text: str) -> None:
-        """Sends a text and the end of its line as one chunk."""
+        """Sends a text and a line feed as one HTTP chunk."""
         watch.socket.sendall(b"%x\r\n%b\n\r\n" % (len(text) + 1, text.encode()))
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -1,4 +1,4 @@
-"""The real program with Consul as its source, against stand-in agents."""
+"""End-to-end tests of the Consul source: the real program against stand-in agents."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Agents:
-    """Stand-in agents in a thread of their own, over one catalogue or several."""
+    """Stand-in agents, all in one thread, which may share a catalog."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -101,7 +101,7 @@
 
 
 def answers_to_requests(program: ConsulSidecar, count: int, start: int = 0) -> list[str]:
-    """What many flows of many keys hear."""
+    """Opens requests with many keys, one after another, and returns their answers."""
     answers = []
     for key in range(start, start + count):
         client = program.open_request(f"{key * 7919:x}")
@@ -127,9 +127,8 @@
     assert answer not in answers_to_requests(program, 40) and owner.opening_count == count
     session.send_line("M 1")
     assert server_side.read_line() == "M 1"
-    server_side.send_line(
-        "M 1"
-    )  # a line left without an answer would show a strained server, whose clients are moved
+    # An unanswered line would count as a sign of overload, and clients would be migrated.
+    server_side.send_line("M 1")
     assert session.read_line() == "M 1"
     agents.do(agent, "lift", server)
     program.next_log_line("ready size=1 as passing")
@@ -137,7 +136,7 @@
     for what in ("critical", "deregister"):
         agents.do(agent, what, server)
         program.next_log_line("draining" if what == "critical" else "gone")
-        session.send_line(what)  # no word of the catalogue alone ends what stands
+        session.send_line(what)  # a report alone never ends a session
         assert server_side.read_line() == what
         server_side.send_line(what)
         assert session.read_line() == what
@@ -181,10 +180,10 @@
     program = start_consul_sidecar(consul_config(first, second, token_file=str(tmp_path / "token")))
     assert set(answers_to_requests(program, 30)) == {"UP 0", "UP 1"}
     for what, options in (("statuses", {"list": [500, 429]}), ("torn", {"count": 1})):
-        for agent in (first, second):  # whichever is asked by now
+        for agent in (first, second):  # whichever is queried now
             agents.do(agent, what, **options)
         for agent in (first, second):
-            agents.do(agent, "passing", "s0")  # whoever waits is answered
+            agents.do(agent, "passing", "s0")  # completes the pending blocking query
         program.next_log_line("the last list stays in use")
         program.next_log_line("answered again")
     first.token = second.token = "new"
@@ -229,7 +228,7 @@
     elapsed = time.monotonic() - began
     lists = agent.answers - answered
     assert lists <= elapsed / 0.1 + 2
-    assert cpu_seconds(program) - before < elapsed  # a core is not full of it
+    assert cpu_seconds(program) - before < elapsed  # less than one core
     assert answers_to_requests(program, 5) == ["UP r1"] * 5
 
 
@@ -246,7 +245,7 @@
     program = start_consul_sidecar(consul_config(agent))
     assert program.open_request().read_line() == "UP r1"
     agents.do(agent, "no_leader")
-    agents.do(agent, "passing", "s0")  # whoever waits is answered
+    agents.do(agent, "passing", "s0")  # completes the pending blocking query
     before, until = agent.answers, time.monotonic() + 3.0
     while time.monotonic() < until:
         answers_to_requests(program, 1)
--- a/tests/test_consul_health.py
+++ b/tests/test_consul_health.py
@@ -1,4 +1,4 @@
-"""What Consul's answers mean for the endpoint list, in virtual time."""
+"""Tests how Consul's answers change the endpoint list, in virtual time."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class HealthScenario:
-    """A catalogue in virtual time: what it was told, and each decision with its time."""
+    """A catalog in virtual time, with a log of its changes and their times."""
 
     def __init__(self, servers: int = 6, zones: str = "ab", **health_settings: Any) -> None:
         self.now, self.index = 100.0, 10
@@ -52,7 +52,7 @@
         resumed: bool = False,
         **reported: Any,
     ) -> bool:
-        """An answer, with the words that differ from the last; ABSENT leaves a server out."""
+        """Applies an answer in which the given servers have a new health; ABSENT leaves a server out."""
         for name, health in reported.items():
             self.instances[name] = replace(self.instances[name], status=health)
         self.index += 1
@@ -69,7 +69,7 @@
             self.log.append((round(self.now - 100.0, 1), name, endpoint_status))
 
     def advance_once(self, seconds: float) -> None:
-        """As `wait`, in one step."""
+        """Advances the time like `advance`, but in a single tick."""
         self.now += seconds
         self.tick()
 
@@ -139,7 +139,7 @@
     scenario.report(index=20, leader=False, s0=MAINTENANCE)
     assert scenario.log == [(0.0, "s0", DRAINING)]
     scenario.advance(1.0)
-    assert scenario.report(index=15, s0=PASSING)  # the leader, but of an index before the drain
+    assert scenario.report(index=15, s0=PASSING)  # has a leader, but its index is older than the drain
     assert scenario.state["s0"] is DRAINING
     scenario.report(index=20)
     assert scenario.state["s0"] is READY
@@ -172,12 +172,12 @@
     assert not scenario.report(index=2)
     assert scenario.log == []
     scenario.advance(1.0)
-    assert scenario.report(index=3)  # behind for so long: its count is another one
+    assert scenario.report(index=3)  # behind for longer than CATCH_UP_TIME, so accepted
     assert [(name, endpoint_status) for _, name, endpoint_status in scenario.log] == [
         ("s0", DRAINING),
         ("s1", DRAINING),
     ]
-    scenario.advance(0.5)  # what it leaves out gets nothing new, and is gone if it stays out
+    scenario.advance(0.5)  # absent servers drain, and are removed if they stay absent
     scenario.report(index=4, s0=PASSING)
     scenario.advance(1.0)
     assert [(name, endpoint_status) for _, name, endpoint_status in scenario.log[2:]] == [
@@ -189,7 +189,7 @@
 def test_server_critical_then_deregistered_during_an_outage() -> None:
     scenario = HealthScenario()
     scenario.report(s0=CRITICAL)
-    scenario.advance(0.5)  # the agent goes; nothing is heard
+    scenario.advance(0.5)  # the agent is lost; no answers
     scenario.advance(5.0)
     assert scenario.log == [(1.0, "s0", DRAINING)]
     scenario.report(agent=1, s0=HealthStatus.ABSENT)
@@ -204,11 +204,12 @@
     scenario.advance(30.0)
     assert scenario.log == []
     assert scenario.catalog.log_lines == ["consul: zone a: 0 of 3 healthy: last good set stays in use"]
-    scenario.report(s3=PASSING, s6=PASSING)  # now one server is ill, and is taken at its word
+    scenario.report(s3=PASSING, s6=PASSING)  # only one is critical now, so the report is applied
     scenario.advance(2.0)
     assert [(name, endpoint_status) for _, name, endpoint_status in scenario.log] == [("s0", DRAINING)]
     scenario.report(s1=MAINTENANCE, s4=MAINTENANCE, s7=MAINTENANCE)
-    assert sorted(name for _, name, _ in scenario.log[1:]) == ["s1", "s4", "s7"]  # drains are no illness
+    # Maintenance does not count as unhealthy.
+    assert sorted(name for _, name, _ in scenario.log[1:]) == ["s1", "s4", "s7"]
 
 
 def test_certain_deregistration_removes_any_number_of_servers() -> None:
@@ -235,7 +236,7 @@
 
 def test_reregistered_server_is_new() -> None:
     scenario = HealthScenario()
-    scenario.advance(2.0)  # the first answer is long past
+    scenario.advance(2.0)  # longer than the settle time after the first answer
     scenario.report(s0=HealthStatus.ABSENT)
     assert scenario.log == [(2.0, "s0", REMOVED)]
     scenario.instances["s0"] = replace(scenario.instances["s0"], address=("127.0.0.1", 9999), status=PASSING)
@@ -260,7 +261,7 @@
             if health is MAINTENANCE and name in scenario.state and scenario.state[name] is not REMOVED:
                 assert scenario.state[name] is DRAINING
         scenario.advance(tenths / 10)
-    # In the end a fresh answer that says all is well has all back, and nothing stays open.
+    # In the end, fresh answers in which all servers pass make all of them ready, and nothing stays unsettled.
     for _ in range(4):
         scenario.report(index=max(scenario.index, 200) + 100, **all_with(scenario, PASSING))
         scenario.advance(35.0)
@@ -286,7 +287,7 @@
 
 
 def test_service_is_asked_for_again_after_hours_without_an_answer() -> None:
-    # Guards against a service that is followed no more once its agents were away for an hour.
+    # Guards against an OverflowError in the backoff, which ended the queries after an hour without an agent.
     pauses: list[float] = []
     source: Any = SimpleNamespace(
         settings=SimpleNamespace(agents=[("127.0.0.1", 8500)], metadata_keys=answers.MetadataKeys()),
@@ -300,7 +301,7 @@
 
 
 def test_server_that_flaps_for_hours_is_ready_again_after_the_longest_recovery_time() -> None:
-    # Guards against an exception in place of a status, once a server has flapped a thousand times.
+    # Guards against an OverflowError in the recovery time after a thousand flaps.
     scenario = HealthScenario()
     for _ in range(1100):
         scenario.report(s0=CRITICAL)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events that cross, each order forced on the real program: ends, closes, stops, starts, descriptors."""
+"""Race conditions forced on the real program: disconnects, closes, shutdowns, starts, descriptor limits."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class PausedProcess:
-    """The program stands still meanwhile; what happens is there at once when it goes on, in its order."""
+    """Suspends the process (SIGSTOP), so that it finds all events of that time at once when it resumes."""
 
     def __init__(self, program: Program) -> None:
         self.program = program
@@ -66,7 +66,7 @@
 def delayed(self):
     LineUpstreamConnection.connectionMade = original
     print("the connection is up", file=sys.stderr, flush=True)
-    select.select([self.client.transport.socket], [], [], 10)  # its client ends, and that is not read yet
+    select.select([self.client.transport.socket], [], [], 10)  # the client has closed; not read yet
     original(self)
 LineUpstreamConnection.connectionMade = delayed
 """
@@ -103,7 +103,7 @@
     program = start_ready(start_program, server, patch=SHORT_FIRST_LINE_TIMEOUT)
     idle = program.connect()
     assert idle.read_line() == ""
-    for n in range(3):  # one that was on its way; of a connection that was reset the next would fail
+    for n in range(3):  # OPEN lines in flight; after a reset, a later send would fail
         idle.send_line(f"OPEN 1{n} 7f c=feed,d=900")
     assert program.open_request().read_line() == "UP r1"
     assert idle.read_line() == "" and server.opening_count == 1
@@ -210,7 +210,7 @@
     other = StandInServer("UP r2")
     low_limit = "import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))"
     program = start_program(server_list(one, other), limits={"sockets": 64}, patch=low_limit)
-    program.discovery.requests.get(timeout=15)  # and no answer: it is down
+    program.discovery.requests.get(timeout=15)  # not answered, as if discovery were down
     idle_clients = [program.connect() for _ in range(150)]
     for _ in range(3):
         program.discovery.requests.get(timeout=15)
@@ -233,7 +233,7 @@
         limits={"sockets": 64},
         settings={**PLATFORM_SETTINGS, "az": "a", "policy_limits": limits},
     )
-    ends_at = time.monotonic() + 2.5  # all are probed by then, if they may
+    ends_at = time.monotonic() + 2.5  # seconds in which all servers would be probed
     answers: list[str] = []
     while time.monotonic() < ends_at:
         client = program.open_request()
@@ -249,7 +249,7 @@
     assert invalid_client.read_line() == "ERR"
     program.process.send_signal(signal.SIGTERM)
     with pytest.raises(subprocess.TimeoutExpired):
-        program.process.wait(1.2)  # nobody else is there, and clients may come for 0.5 s
+        program.process.wait(1.2)  # no other client is left, and new ones are accepted for 0.5 s only
     invalid_client.close()
     assert program.process.wait(TEST_TIMEOUT) == 0
 
@@ -261,9 +261,8 @@
     try:
         for n in range(30):
             (tmp_path / str(n)).mkdir()
-            programs.append(
-                Program(tmp_path / str(n), server_list(server))
-            )  # discovery is there and says nothing
+            # Discovery accepts requests and sends no list.
+            programs.append(Program(tmp_path / str(n), server_list(server)))
         in_time = 0
         for program in programs:
             while (answers := program.connect("PING").read_line()) != "PONG":
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""Lists of servers from the platform's discovery, and a new configuration, read while sessions stand."""
+"""Tests of endpoint lists from the platform's discovery, and of reloads, while sessions are open."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     StandInDiscovery.send_text(watch, json.dumps(endpoint_list(44, False, s2=("127.0.0.1:9", "gone"))))
     StandInDiscovery.send_text(watch, json.dumps(endpoint_list(45, False, s3=(one.address, "gone"))))
     assert {program.open_request(key).read_line() for key in "abcdef"} == {"UP r1"}
-    assert one.opening_count <= 1 and other.opening_count >= 5  # one may have come ahead of the list
+    assert one.opening_count <= 1 and other.opening_count >= 5  # a request may precede the list
 
 
 def test_drain_window_ends_new_attempts_and_keeps_sessions(
@@ -46,7 +46,7 @@
             for name, each in (("s0", one), ("s1", other))
         }
     )
-    until = time.monotonic() + 1.05  # the window, and what sockets may add
+    until = time.monotonic() + 1.05  # seconds: the drain grace plus delays of sockets
     while time.monotonic() < until:
         client = program.open_request("ab")
         assert client.read_line().startswith("UP ")
@@ -93,9 +93,7 @@
 SHORT_LINE_TIMEOUT = override("brambleplank.discovery.platform.discovery:LINE_TIMEOUT", 0.3)
 
 
-MAX_REQUEST_DELAY = (
-    6.0 - 4.3
-)  # seconds after a watch is found silent in which what it missed must have been asked for
+MAX_REQUEST_DELAY = 6.0 - 4.3  # seconds in which the next request must follow a silent watch
 
 
 def test_silent_watch_is_replaced_in_time(
@@ -107,7 +105,7 @@
     for silence in ("watch", "watch", "watch", "agent", "agent", "watch"):
         first, line = program.discovery.requests.get(timeout=0.3 + MAX_REQUEST_DELAY)
         assert first.startswith("GET /discovery/hosts?watch=1&from=41 ")
-        if silence == "watch":  # open, with nothing to tell
+        if silence == "watch":  # the watch opens, and stays silent after a heartbeat
             line.socket.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
     assert program.open_request().read_line() == "UP r1" and program.stop().count("list: ") == 1
 
@@ -132,9 +130,7 @@
 ) -> None:
     program, server, client, server_side = start_with_session(start_program)
     _, old = program.discovery.accept_watch()
-    for round_number in range(
-        3
-    ):  # each time the address is another one, and the file as a whole is written anew
+    for round_number in range(3):  # with another address each time, and the whole file rewritten
         new = StandInDiscovery()
         assert "taken up: discovery\n" in program.reload(discovery=new.address)
         first, watch = new.accept_watch()
@@ -147,7 +143,7 @@
         old = watch
         client.send_line("M 1")
         assert server_side.read_line() == "M 1"
-        server_side.send_line("M 1")  # a line left without an answer would show a strained server
+        server_side.send_line("M 1")  # an unanswered line would count as a sign of overload
         assert client.read_line() == "M 1"
         assert program.open_request().read_line() == "UP r1"
     log = program.stop().partition("shutdown: ")[0]
@@ -186,7 +182,7 @@
     start_program: StartProgram,
 ) -> None:
     program = start_program(server_list(StandInServer()))
-    for _ in range(4):  # each failure lengthens the decisions' pause before the next request
+    for _ in range(4):  # each failure lengthens the decisions' delay before the next request
         program.discovery.accept_watch()[1].close(reset=True)
     late = socket.create_server(("127.0.0.1", 0))
     late.settimeout(2.0)
@@ -208,7 +204,7 @@
     assert "taken up: limits.sockets; wait for a restart: name, seed" in log
     client.send_line("M 1")
     assert server_side.read_line() == "M 1"
-    StandInDiscovery.send_text(watch, "")  # it goes on; silent for longer, it would be asked for anew
+    StandInDiscovery.send_text(watch, "")  # a heartbeat, so that the watch is not replaced as silent
     program.process.send_signal(signal.SIGTERM)
     assert "is not JSON" in program.reload("[")
     assert client.read_line() == "MOVE"
--- a/tests/test_list_told.py
+++ b/tests/test_list_told.py
@@ -1,4 +1,7 @@
-"""The list of servers is told in time, whatever fails on the way: the real program, and a watch by hand."""
+"""Tests that changes of the endpoint list arrive in time despite failures of watches and requests.
+
+They run the real program against a discovery stand-in whose responses the test sends.
+"""
 
 from __future__ import annotations
 
@@ -18,12 +21,12 @@
 from tests.stand_ins import LineConnection, StandInDiscovery, StandInServer
 from tests.test_sockets import StartProgram, server_list
 
-MAX_PROPAGATION_TIME = 6.0  # seconds after which a change counts as told
+MAX_PROPAGATION_TIME = 6.0  # seconds; by then a change counts as received
 SHORT_LINE_TIMEOUT = override("brambleplank.discovery.platform.discovery:LINE_TIMEOUT", 0.3)
 
 
 def trickle(line: LineConnection, byte: bytes = b" ") -> None:
-    """Bytes of a line that never ends, until nobody reads them any more."""
+    """Sends single bytes of a line that never ends, until the other side closes the connection."""
 
     def send_bytes() -> None:
         with suppress(OSError):
@@ -43,10 +46,10 @@
     program = start_program(server_list(StandInServer()), patch=SHORT_LINE_TIMEOUT)
     _, line = program.discovery.requests.get(timeout=15)
     send_headers(line)
-    trickle(line)  # no whole list ever comes
+    trickle(line)  # the first list never completes
     started = time.monotonic()
     _, watch = program.discovery.accept_watch()
-    trickle(watch)  # a first line has come, and nothing whole since
+    trickle(watch)  # no complete line after the first one
     assert program.discovery.requests.get(timeout=15)[0].startswith("GET /discovery/hosts?watch=1&from=41 ")
     assert time.monotonic() < started + 3.0
     assert program.open_request().read_line() == "UP r1"
@@ -56,13 +59,13 @@
     one, other = StandInServer(), StandInServer("UP r2")
     program = start_program(server_list(one, other))
     _, silent = program.discovery.accept_watch()
-    drained = time.monotonic()  # right after a line; nothing whole comes on this watch any more
+    drained = time.monotonic()  # right after a line; no complete line follows on this watch
     threading.Timer(2.9, trickle, [silent]).start()
     program.discovery.requests.get(timeout=15)[1].close(reset=True)
     _, dripping = program.discovery.requests.get(timeout=15)
     send_headers(dripping)
     trickle(dripping, b"{")
-    program.discovery.requests.get(timeout=15)  # silent; it is given up
+    program.discovery.requests.get(timeout=15)  # not answered, so it times out
     _, watch = program.discovery.accept_watch()
     StandInDiscovery.send_text(watch, json.dumps(endpoint_list(42, False, s0=(one.address, "draining"))))
     while (
@@ -75,8 +78,8 @@
 def test_request_that_a_returning_agent_does_not_answer_is_repeated_beside_it(
     start_program: StartProgram,
 ) -> None:
-    # Guards against attempts after a short drain grace: the list was asked for again only once a request
-    # from before the return of discovery had been given up.
+    # Guards against attempts at a draining server after a short drain grace: the list was only requested
+    # again after a request from before the return of discovery had timed out.
     one = StandInServer()
     other = StandInServer("UP r2")
     rules = {**PLATFORM_SETTINGS["rules"], "stop_sending_within_us": 300_000}
@@ -95,7 +98,7 @@
 def start_with_deferred_list(
     start_program: StartProgram, *servers: StandInServer
 ) -> tuple[Program, StandInDiscovery, LineConnection]:
-    """A program that has a list of version 50, with a drain, and is told the older one of 41 elsewhere."""
+    """Starts a program with a list of version 50, and moves it to discovery with the older version 41."""
     program = start_program(server_list(*servers))
     _, old = program.discovery.accept_watch()
     StandInDiscovery.send_text(old, json.dumps(endpoint_list(50, False, s0=(servers[0].address, "draining"))))
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The real program, spoken to over loopback."""
+"""End-to-end tests of the real program over loopback sockets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 def start_with_session(
     start_program: StartProgram,
 ) -> tuple[Program, StandInServer, LineConnection, LineConnection]:
-    """A program with one server, a client established through it, and the server's end of that."""
+    """Starts a program with one server and opens a session.
+
+    Returns the program, the server, and the session's connections at the client and at the server.
+    """
     server = StandInServer()
     program = start_program(server_list(server))
     client = program.open_request()
@@ -227,7 +230,7 @@
     late = unused_address()
     program = start_program(endpoint_list(41, True, s0=f"127.0.0.1:{late[1]}"))
     client = program.open_request(extra_fields=",at=s0")
-    time.sleep(0.3)  # the first dials are refused meanwhile
+    time.sleep(0.3)  # the first connects are refused meanwhile
     server = StandInServer(at=late)
     assert client.read_line() == "UP r1" and server.opening_count == 1
 
@@ -239,7 +242,7 @@
 connect = LineUpstreamConnection.connect
 def stall(self, wait):
     connect(self, wait)
-    time.sleep(0.2)  # more than a connection may take to come up
+    time.sleep(0.2)  # longer than a connect may take
 LineUpstreamConnection.connect = stall
 """
     program = start_program(server_list(StandInServer()), patch=patch)
--- a/tests/test_untrusted_clients.py
+++ b/tests/test_untrusted_clients.py
@@ -1,4 +1,4 @@
-"""Clients that break the protocol, send nothing, or want more than there is."""
+"""Tests of clients that break the protocol, stay idle, or exceed the descriptor limit."""
 
 from __future__ import annotations
 
