--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -17,21 +17,22 @@
     assert sorted(set(probed)) == [f"10.0.0.{i}:80" for i in range(5)] and 20 <= len(probed) <= 30
     fake.balancer.message_time_reported(fake.now, fake.server("10.0.0.3:80"), 0.2, measured=True)
     assert fake.calls(HostCall.REPORT_MESSAGE_TIME) == [(fake.server("10.0.0.3:80"), 0.2)]
-    fake.advance(2.9)  # in the first four seconds they were probed each second
+    fake.advance(2.9)  # in the first four seconds, all were probed once per second
     after = [server.id for server in fake.calls(HostCall.PROBE)][len(probed) :]
     assert 2 <= after.count("10.0.0.3:80") <= 3 and after.count("10.0.0.1:80") <= 1
 
 
 def test_proxies_of_a_zone_share_the_probes() -> None:
     fakes = make_fake_fleet(40, PeeredFakeHost)
-    for part in (8.0, 9.0, 9.0):  # often at first, then steadily; each time the proxy that probed most ends
+    # Probes are more frequent at first. After each period, the proxy that probed most is removed.
+    for duration in (8.0, 9.0, 9.0):
         for fake in fakes:
             fake.recorded_calls.clear()
-        for _ in range(round(part / 0.02)):
+        for _ in range(round(duration / 0.02)):
             for fake in fakes:
                 fake.advance(0.02)
         probed = [server.id for fake in fakes for server in fake.calls(HostCall.PROBE)]
-        assert len(set(probed)) == 5 and (part == 8.0 or 5 * 2 <= len(probed) <= 5 * 5)
+        assert len(set(probed)) == 5 and (duration == 8.0 or 5 * 2 <= len(probed) <= 5 * 5)
         fakes.remove(max(fakes, key=lambda fake: len(fake.calls(HostCall.PROBE))))
 
 
@@ -40,25 +41,27 @@
     fake.receive_endpoints(
         {"10.0.9.1:80": EndpointStatus.READY, "10.0.9.2:80": EndpointStatus.READY}, zone="b"
     )
-    far = fake.server("10.0.9.1:80")
-    covered = fake.server("10.0.9.2:80")
-    for server in (far, covered):
+    unreported = fake.server("10.0.9.1:80")
+    reported = fake.server("10.0.9.2:80")
+    for server in (unreported, reported):
         fake.request(server=server)
     for _ in range(12):
         fake.advance(1.0)
-        fake.balancer.message_time_reported(fake.now, covered, 0.0)
-    assert far in fake.calls(HostCall.PROBE) and covered not in fake.calls(HostCall.PROBE)
+        fake.balancer.message_time_reported(fake.now, reported, 0.0)
+    assert unreported in fake.calls(HostCall.PROBE) and reported not in fake.calls(HostCall.PROBE)
     reported_before = len(fake.calls(HostCall.REPORT_MESSAGE_TIME))
-    fake.balancer.message_time_reported(fake.now, covered, 0.0, measured=True)
-    fake.balancer.message_time_reported(fake.now, far, 0.0, measured=True)
-    assert [server for server, _ in fake.calls(HostCall.REPORT_MESSAGE_TIME)[reported_before:]] == [far]
+    fake.balancer.message_time_reported(fake.now, reported, 0.0, measured=True)
+    fake.balancer.message_time_reported(fake.now, unreported, 0.0, measured=True)
+    assert [server for server, _ in fake.calls(HostCall.REPORT_MESSAGE_TIME)[reported_before:]] == [
+        unreported
+    ]
 
 
-def test_permissions_to_probe_and_to_report_start_with_a_reload() -> None:
+def test_reload_that_permits_probes_and_reports_starts_them_once() -> None:
     fake = FakeHost(may_message_peers=False)
     fake.advance(3.0)
     assert not fake.calls(HostCall.PROBE) and not fake.calls(HostCall.SEND_LOAD_REPORT)
-    for _ in range(3):  # permitted, denied and permitted again, each loop runs once
+    for _ in range(3):  # each periodic task is started only once, however often it is permitted
         fake.balancer.update_settings(
             replace(DECODED_SETTINGS, may_message_peers=True, probes_endpoints=True)
         )
