--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -41,7 +41,7 @@
     def run(self, coroutine: Any) -> None:
         asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(TEST_TIMEOUT)
 
-    def do(self, agent: StandInConsul, what: str, server: str = "", **options: Any) -> float:
+    def apply(self, agent: StandInConsul, what: str, server: str = "", **options: Any) -> float:
         self.run(do(agent, Step(0.0, what, "feeds", server, options)))
         return time.monotonic()
 
@@ -93,7 +93,7 @@
 
 def register_servers(agents: Agents, agent: StandInConsul, *servers: StandInServer) -> None:
     for n, server in enumerate(servers):
-        agents.do(agent, "register", f"s{n}", address=server.address)
+        agents.apply(agent, "register", f"s{n}", address=server.address)
 
 
 def consul_config(*agents: StandInConsul, **options: Any) -> Consul:
@@ -120,7 +120,7 @@
     answer = session.read_line()
     owner, server = (one, "s0") if answer == "UP one" else (other, "s1")
     server_side = owner.next_opening()[1]
-    agents.do(agent, "maintain", server)
+    agents.apply(agent, "maintain", server)
     log_line = program.next_log_line("as maintenance")
     assert "as maintenance after 0.0" in log_line or "as maintenance after 0.1" in log_line
     count = owner.opening_count
@@ -130,11 +130,11 @@
     # An unanswered line would count as a sign of overload, and clients would be migrated.
     server_side.send_line("M 1")
     assert session.read_line() == "M 1"
-    agents.do(agent, "lift", server)
+    agents.apply(agent, "lift", server)
     program.next_log_line("ready size=1 as passing")
     assert answer in answers_to_requests(program, 40, 100)
     for what in ("critical", "deregister"):
-        agents.do(agent, what, server)
+        agents.apply(agent, what, server)
         program.next_log_line("draining" if what == "critical" else "gone")
         session.send_line(what)  # a report alone never ends a session
         assert server_side.read_line() == what
@@ -150,17 +150,17 @@
     program = start_consul_sidecar(consul_config(agent))
     session = program.open_request()
     assert session.read_line().startswith("UP ")
-    agents.do(agent, "stop")
+    agents.apply(agent, "stop")
     program.next_log_line("the last list stays in use")
     assert set(answers_to_requests(program, 40)) == {"UP 0", "UP 1", "UP 2"}
-    agents.do(agent, "go_back", index=1)
+    agents.apply(agent, "go_back", index=1)
     saved = agent.services["feeds"]
     agent.services["feeds"] = {}
-    agents.do(agent, "start")
+    agents.apply(agent, "start")
     program.next_log_line("answered again")
     assert set(answers_to_requests(program, 40, 100)) == {"UP 0", "UP 1", "UP 2"}
     agent.services["feeds"] = saved
-    agents.do(agent, "maintain", "s1")
+    agents.apply(agent, "maintain", "s1")
     program.next_log_line("s1 draining")
     assert set(answers_to_requests(program, 40, 200)) == {"UP 0", "UP 2"}
     session.send_line("M 1")
@@ -181,25 +181,25 @@
     assert set(answers_to_requests(program, 30)) == {"UP 0", "UP 1"}
     for what, options in (("statuses", {"list": [500, 429]}), ("torn", {"count": 1})):
         for agent in (first, second):  # whichever is queried now
-            agents.do(agent, what, **options)
+            agents.apply(agent, what, **options)
         for agent in (first, second):
-            agents.do(agent, "passing", "s0")  # completes the pending blocking query
+            agents.apply(agent, "passing", "s0")  # completes the pending blocking query
         program.next_log_line("the last list stays in use")
         program.next_log_line("answered again")
     first.token = second.token = "new"
-    agents.do(first, "passing", "s0")
-    agents.do(second, "passing", "s0")
+    agents.apply(first, "passing", "s0")
+    agents.apply(second, "passing", "s0")
     program.next_log_line("status 403")
     (tmp_path / "token").write_text("new\n")
     program.next_log_line("answered again")
     assert set(answers_to_requests(program, 30, 100)) == {"UP 0", "UP 1"}
     for agent in (first, second):
-        agents.do(agent, "maintain", "s1")
+        agents.apply(agent, "maintain", "s1")
     program.next_log_line("s1 draining")
     assert set(answers_to_requests(program, 30, 200)) == {"UP 0"}
-    agents.do(first, "stop")
+    agents.apply(first, "stop")
     for _ in range(2):
-        agents.do(second, "lift", "s1")
+        agents.apply(second, "lift", "s1")
     program.next_log_line("s1 ready")
     assert "fault" not in program.stop()
 
@@ -244,8 +244,8 @@
     register_servers(agents, agent, server)
     program = start_consul_sidecar(consul_config(agent))
     assert program.open_request().read_line() == "UP r1"
-    agents.do(agent, "no_leader")
-    agents.do(agent, "passing", "s0")  # completes the pending blocking query
+    agents.apply(agent, "no_leader")
+    agents.apply(agent, "passing", "s0")  # completes the pending blocking query
     before, until = agent.answers, time.monotonic() + 3.0
     while time.monotonic() < until:
         answers_to_requests(program, 1)
@@ -277,7 +277,7 @@
 def test_watch_prints_each_change_what_was_made_of_it_and_its_delay(agents: Agents, tmp_path: Path) -> None:
     agent = agents.start_agent()
     for n in range(4):
-        agents.do(agent, "register", f"s{n}", address=f"127.0.0.1:{7000 + n}", zone="a")
+        agents.apply(agent, "register", f"s{n}", address=f"127.0.0.1:{7000 + n}", zone="a")
     options = [
         "new",
         "--application=maps",
@@ -297,10 +297,10 @@
     try:
         lines = iter(watching.stdout.readline, "")
         assert any("n1/s3 ready at 127.0.0.1:7003 zone=a" in line for line in lines)
-        agents.do(agent, "maintain", "s1")
+        agents.apply(agent, "maintain", "s1")
         assert any("n1/s1 draining at 127.0.0.1:7001" in line for line in lines)
         assert any("n1/s1 draining size=1 as maintenance after 0." in line for line in lines)
-        agents.do(agent, "critical", "s2")
+        agents.apply(agent, "critical", "s2")
         assert any("n1/s2 draining size=1 as critical after 1." in line for line in lines)
     finally:
         watching.kill()
