--- a/brambleplank/discovery/platform/discovery.py
+++ b/brambleplank/discovery/platform/discovery.py
@@ -3,12 +3,12 @@
 The proxy is held to a change 6 s after discovery has it, provided that discovery can be reached, whatever
 requests failed in between. In the worst sequence a watch goes silent right after a line (3.0 s to detect), a
 request is refused or times out (0.4 s), the response to the next one stalls within the list (0.4 s to its
-first byte, 0.8 s to the whole list), and another request times out (0.4 s). With a delay of 0.1 s before each
+first byte, 0.8 s to the full list), and another request times out (0.4 s). With a delay of 0.1 s before each
 request, the fourth one is sent 5.4 s after the change. `docs/design/races.md` has the timeline.
 
-When discovery comes back after an outage, the proxy is held at once to what discovery has. A request sent
-just before that is never answered. If the drain grace is short, a second request is therefore sent before
-the first one times out.
+When discovery comes back after an outage, the proxy is held to its list immediately. A request sent just
+before that is never answered. If the drain grace is short, a second request is therefore sent before the
+first one times out.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 
 CATCH_UP_TIME = 2.5  # seconds for which discovery at a new address may serve an outdated list
 RETRY_DELAY = 0.1  # seconds between two requests; the agent is local, so a short delay costs nothing
-RESPONSE_TIMEOUT = 0.4  # seconds from a request to the list's first byte, which comes at once or not at all
+RESPONSE_TIMEOUT = 0.4  # seconds from a request to the first byte, which comes immediately or not at all
 HEDGE_SHARE = 1 / 3  # of the drain grace; the rest is for the response, and for a stall of this process
-FIRST_LIST_TIMEOUT = 0.8  # seconds from the first byte to the whole list, plus the transfer time of its bytes
+FIRST_LIST_TIMEOUT = 0.8  # seconds from the first byte to the full list, plus the transfer time of its bytes
 MIN_TRANSFER_RATE = 1024 * 1024  # bytes per second; discovery is on this machine
 LINE_TIMEOUT = 3.0  # seconds without a complete line; discovery sends an empty one every 2 s
 HTTP_OK = 200
@@ -167,7 +167,7 @@
         self.url = b"http://%s:%d/discovery/hosts?watch=1" % (address[0].encode(), address[1])
 
     def request_watch(self, version: int | None) -> defer.Deferred[Any]:
-        """Requests changes since a version, or the whole list if there is no version."""
+        """Requests changes since a version, or the full list if there is no version."""
         query = b"" if version is None else b"&from=%d" % version
         request: defer.Deferred[Any] = self.agent.request(b"GET", self.url + query)
         return request
@@ -200,14 +200,14 @@
         self.endpoints: dict[str, tuple[Endpoint, Address]] = {}
 
     def apply(self, update: EndpointList) -> None:
-        """Merges changes, or replaces everything by a whole list."""
+        """Merges changes, or replaces everything by a full list."""
         if update.is_whole:
             self.endpoints = {}
         for endpoint in update.endpoints:
             self.endpoints[endpoint.id] = endpoint, update.addresses[endpoint.id]
 
     def as_list(self, version: int) -> EndpointList:
-        """Returns the merged list as a whole list, without removed servers."""
+        """Returns the merged list as a full list, without removed servers."""
         listed = [
             (endpoint, address)
             for endpoint, address in self.endpoints.values()
@@ -223,7 +223,7 @@
     def __init__(self, proxy: Proxy, address: Address) -> None:
         self.proxy = proxy
         self.service = DiscoveryService(address)
-        self.version: int | None = None  # received from this address; None: requests the whole list
+        self.version: int | None = None  # received from this address; None: requests the full list
         self.newest_version = 0  # version of the applied list, whichever address it came from
         self.outdated: OutdatedList | None = None  # deferred until it is as new as the applied list
         self.address_changed_at = -inf
@@ -240,7 +240,7 @@
     def change_address(self, address: Address) -> None:
         """Follows discovery at another address from now on; the applied list stays in use.
 
-        Requests the whole list: version numbers may differ between the two addresses, and a change that was
+        Requests the full list: version numbers may differ between the two addresses, and a change that was
         missed in between would otherwise never be received.
         """
         self.stop()
@@ -277,7 +277,7 @@
     def apply_initial_list(self, encoded: Any, origin: Address | None = None) -> None:
         """Applies a list that this proxy had before; `origin` is the address that it was received from.
 
-        If that is another address, its version may not be valid here, so the whole list is requested next.
+        If that is another address, its version may not be valid here, so the full list is requested next.
         """
         known = decode_list(encoded)
         self.newest_version = known.version
@@ -359,7 +359,7 @@
             self.schedule_retry(reason)
 
     def list_received(self, encoded: Any) -> None:
-        """Applies a whole list or changes, or defers an outdated list. Raises MalformedListError."""
+        """Applies a full list or changes, or defers an outdated list. Raises MalformedListError."""
         if self.watch is None:
             return
         update = decode_list(encoded)
@@ -385,10 +385,10 @@
             self.version = None
             raise MalformedListError(f"version went back to {update.version}")
         if self.version is None and self.outdated is None:
-            raise MalformedListError("changes without a whole list before them")
+            raise MalformedListError("changes without a full list before them")
 
     def heartbeat_received(self) -> None:
-        """Reports that the applied list is current, unless a whole list is awaited or deferred."""
+        """Reports that the applied list is current, unless a full list is awaited or deferred."""
         if self.version is not None and self.outdated is None:
             self.proxy.endpoint_list_confirmed()
 
@@ -411,7 +411,7 @@
         return self.outdated
 
     def catch_up_expired(self, watch: Watch) -> None:
-        """Requests the whole list again after `CATCH_UP_TIME`; it is applied whatever its version."""
+        """Requests the full list again after `CATCH_UP_TIME`; it is applied whatever its version."""
         if watch is self.watch and self.outdated is not None:
             self.close_watch()
             self.ensure_watching()
--- a/brambleplank/discovery/platform/endpoint_list.py
+++ b/brambleplank/discovery/platform/endpoint_list.py
@@ -26,7 +26,7 @@
 
 
 class EndpointList(NamedTuple):
-    """A whole endpoint list, or changes to the one before it."""
+    """A full endpoint list, or changes to the one before it."""
 
     version: int
     is_whole: bool  # if so, servers that are not in it are removed
@@ -72,7 +72,7 @@
 
 
 def encode_list(version: int, endpoints: list[Endpoint], addresses: dict[str, Address]) -> dict[str, Any]:
-    """Encodes a whole endpoint list."""
+    """Encodes a full endpoint list."""
     hosts = [encode_host(endpoint, addresses[endpoint.id]) for endpoint in endpoints]
     return {"seq": version, "whole": True, "hosts": hosts}
 
