--- a/benchmarks/fleet_simulation.py
+++ b/benchmarks/fleet_simulation.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import NamedTuple
 
-from brambleplank.fleet.errors import BrokenError
+from brambleplank.fleet.errors import InvariantError
 from brambleplank.fleet.leases.budgets import CONNECTION_EXPIRY, Budget
 from brambleplank.fleet.leases.timing import MAX_CLOCK_DRIFT
 from brambleplank.fleet.member import FleetMember
@@ -203,10 +203,10 @@
     # Use of budgets, and the judgement.
 
     def take(self, node: SimulatedMember, name: str) -> bool:
-        """Takes a unit at a member, if it runs. Raises BrokenError if the fleet now uses too much."""
+        """Takes a unit at a member, if it runs. Raises InvariantError if the fleet now uses too much."""
         if not self.is_running(node) or node.fleet is None:
             return False
-        if not node.fleet.take(self.clock(node), name):
+        if not node.fleet.try_acquire(self.clock(node), name):
             self.refused += 1
             return False
         self.served += 1
@@ -216,7 +216,7 @@
         used = self.record_use(budget)
         self.peak_use[name] = max(self.peak_use[name], used)
         if used > budget.limit:
-            raise BrokenError(f"{used} units of {budget.limit} at {self.now:.3f}", f"budget {name}")
+            raise InvariantError(f"{used} units of {budget.limit} at {self.now:.3f}", f"budget {name}")
         return True
 
     def record_use(self, budget: Budget) -> int:
@@ -237,10 +237,10 @@
             node.fleet.account(name).release()
 
     def check_one_leader(self) -> None:
-        """Raises BrokenError if two members lead."""
+        """Raises InvariantError if two members lead."""
         leaders = [node.number for node in self.nodes if self.is_running(node) and self.is_leader(node)]
         if len(leaders) > 1:
-            raise BrokenError(f"{leaders} lead at {self.now:.3f}", "election")
+            raise InvariantError(f"{leaders} lead at {self.now:.3f}", "election")
 
     def is_leader(self, node: SimulatedMember) -> bool:
         """Returns whether a member leads by its own clock, without changing its state."""
@@ -248,7 +248,7 @@
             return False
         candidacy = node.fleet.election.candidacy
         has_begun = candidacy.is_active and candidacy.leader_since is not None
-        return has_begun and self.clock(node) < candidacy.support_expires()
+        return has_begun and self.clock(node) < candidacy.support_expiry()
 
     def leader(self) -> SimulatedMember | None:
         """Returns the member that leads."""
--- a/brambleplank/fleet/invariants.py
+++ b/brambleplank/fleet/invariants.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
-from brambleplank.fleet.errors import BrokenError
+from brambleplank.fleet.errors import InvariantError
 from brambleplank.fleet.leases.account import Account
 from brambleplank.fleet.leases.counts import Coverage
 from brambleplank.fleet.leases.ledger import Ledger
@@ -16,46 +16,50 @@
 
 
 def check(now: float, accounts: Sequence[Account], ledgers: Sequence[Ledger], coverage: Coverage) -> None:
-    """Checks use, leases and coverage. Raises BrokenError, naming what does not hold."""
+    """Checks use, leases and coverage. Raises InvariantError, naming what does not hold."""
     for account in accounts:
         check_account(now, account)
     for ledger in ledgers:
         check_ledger(now, ledger)
     if not 1 <= coverage.reachable <= coverage.members or coverage.oldest < 0:
-        raise BrokenError(f"coverage says {coverage}", "fleet")
+        raise InvariantError(f"coverage says {coverage}", "fleet")
 
 
 def check_account(now: float, account: Account) -> None:
-    """Raises BrokenError where more is leased or used than there can be."""
+    """Raises InvariantError where more is leased or used than there can be."""
     budget = account.budget
     where = f"fleet budget {budget.name}"
     if not 0 <= account.leased <= budget.leasable:
-        raise BrokenError(f"{account.leased} are lent of {budget.leasable}", where)
+        raise InvariantError(f"{account.leased} are lent of {budget.leasable}", where)
     most = budget.leasable + account.reserve
     used = account.used(now)
     if not 0 <= used <= most:
-        raise BrokenError(f"{used} are used of {most}", where)
+        raise InvariantError(f"{used} are used of {most}", where)
 
 
 def check_ledger(now: float, ledger: Ledger) -> None:
-    """Raises BrokenError where more is outstanding than there is."""
+    """Raises InvariantError where more is outstanding than there is."""
     budget = ledger.budget
     outstanding = ledger.outstanding(now)
     if now >= ledger.unknown_until and outstanding > budget.leasable:
-        raise BrokenError(f"{outstanding} units are out of {budget.leasable}", f"fleet budget {budget.name}")
+        raise InvariantError(
+            f"{outstanding} units are out of {budget.leasable}", f"fleet budget {budget.name}"
+        )
 
 
 def check_grows(before: Mapping[str, int], now: Mapping[str, int]) -> None:
-    """Of versions, counts and steps of retirements, by name. Raises BrokenError where one has fallen."""
+    """Of versions, counts and steps of retirements, by name. Raises InvariantError where one has fallen."""
     for name, value in now.items():
         if value < before.get(name, value):
-            raise BrokenError(f"{value} after {before[name]}", f"fleet {name}")
+            raise InvariantError(f"{value} after {before[name]}", f"fleet {name}")
 
 
 def check_ceiling(passed_over: Sequence[int], servers: Sequence[int]) -> None:
-    """Raises BrokenError where more servers are judged bad than may be at once."""
+    """Raises InvariantError where more servers are judged bad than may be at once."""
     if len(passed_over) > CEILING * len(servers):
-        raise BrokenError(f"{len(passed_over)} of {len(servers)} servers are passed over", "fleet judgements")
+        raise InvariantError(
+            f"{len(passed_over)} of {len(servers)} servers are passed over", "fleet judgements"
+        )
 
 
 class MonotonicValues:
@@ -77,7 +81,7 @@
         return values
 
     def check(self) -> None:
-        """Raises BrokenError where a value has fallen since the last check."""
+        """Raises InvariantError where a value has fallen since the last check."""
         current = self.current()
         check_grows(self.last, current)
         self.last = current
--- a/brambleplank/fleet/leases/account.py
+++ b/brambleplank/fleet/leases/account.py
@@ -6,7 +6,7 @@
 from math import ceil, inf
 from typing import NamedTuple
 
-from brambleplank.fleet.errors import BrokenError
+from brambleplank.fleet.errors import InvariantError
 from brambleplank.fleet.leases.budgets import Budget
 from brambleplank.fleet.leases.timing import (
     HEARTBEAT_INTERVAL,
@@ -88,14 +88,14 @@
         """Returns the units in use: spent within the window, or open."""
         return self.spent.expire(now) if self.budget.window else self.held
 
-    def free(self, now: float) -> bool:
+    def has_free_unit(self, now: float) -> bool:
         """Returns whether one more unit may be used."""
         return self.used(now) < self.allowance(now)
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Takes one unit, if one is left. `now` must be read for this call, as a stall may precede it."""
-        if not self.free(now):
-            self.refuse(now)
+        if not self.has_free_unit(now):
+            self.record_refusal(now)
             return False
         if self.budget.window:
             self.spent.add(now)
@@ -103,7 +103,7 @@
             self.held += 1
         return True
 
-    def refuse(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Records that a unit was wanted, and there was none."""
         self.refused.add(now)
 
@@ -112,10 +112,10 @@
         self.held += 1
 
     def release(self) -> None:
-        """Frees one unit of a count. Raises BrokenError if none is open."""
+        """Frees one unit of a count. Raises InvariantError if none is open."""
         self.held -= 1
         if self.held < 0:
-            raise BrokenError("more was given back than was taken", f"fleet budget {self.budget.name}")
+            raise InvariantError("more was given back than was taken", f"fleet budget {self.budget.name}")
 
     def release_unused(self, now: float) -> int:
         """Lowers the lease to what is in use or wanted, and returns the most that can be in use from now on.
--- a/brambleplank/fleet/leases/candidacy.py
+++ b/brambleplank/fleet/leases/candidacy.py
@@ -80,14 +80,14 @@
         """Returns whether this process should step down: it lost its majority, or never had one in time."""
         return self.is_active and not self.is_leader(now) and (self.has_led or now >= self.ends_at)
 
-    def support_expires(self) -> float:
+    def support_expiry(self) -> float:
         """Returns when the support of a majority ends."""
         expiries = sorted(self.supporters.values(), reverse=True)
         return expiries[self.majority - 1] if len(expiries) >= self.majority else NEVER
 
     def is_leader(self, now: float) -> bool:
         """Returns whether this process leads. A lead that has expired does not come back by late support."""
-        if self.is_active and now < self.support_expires():
+        if self.is_active and now < self.support_expiry():
             return self.leader_since is not None
         self.leader_since = None
         return False
@@ -104,7 +104,7 @@
         """
         if not self.is_active or sequence not in self.heartbeats.times:
             return False
-        if now >= self.support_expires():
+        if now >= self.support_expiry():
             self.leader_since = None
         until = self.heartbeats.times[sequence] + LEASE_DURATION * HOLDER_CLOCK_FACTOR
         self.supporters[who] = max(until, self.supporters.get(who, until))
@@ -115,7 +115,7 @@
 
         With a lower term than the last leader's, an older agreement would replace a newer one.
         """
-        if self.leader_since is None and now < self.support_expires():
+        if self.leader_since is None and now < self.support_expiry():
             self.leader_since = now
             self.term = max(self.term, lowest_term)
             self.has_led = True
--- a/brambleplank/fleet/leases/client.py
+++ b/brambleplank/fleet/leases/client.py
@@ -55,7 +55,7 @@
         """Returns whether the leader has answered within the length of a lease."""
         return now < self.granted_at + LEASE_DURATION
 
-    def note_refused(self) -> None:
+    def record_refusal(self) -> None:
         """A unit was wanted, and there was none; a lease is requested soon."""
         self.unit_refused = True
 
@@ -133,7 +133,7 @@
         if grant.recipient != self.identity.incarnation:
             return
         is_answer = grant.request == self.sequence and self.unanswered
-        if not is_answer or not self.election.followed.is_start(who, grant.incarnation):
+        if not is_answer or not self.election.followed.is_incarnation(who, grant.incarnation):
             return
         self.granted_at = now
         self.unanswered = 0
--- a/brambleplank/fleet/leases/counts.py
+++ b/brambleplank/fleet/leases/counts.py
@@ -33,7 +33,7 @@
 Totals = list[int]  # one number for each kind
 
 
-def no_totals() -> Totals:
+def zero_totals() -> Totals:
     """Returns the totals of a key of which nothing was counted."""
     return [0] * len(CountKind)
 
@@ -51,7 +51,7 @@
         return f"{self.reachable} of {self.members} heard, oldest {self.oldest:.1f} s"
 
 
-def key_of(service_type: str, customer: str, version: str) -> str:
+def count_key(service_type: str, customer: str, version: str) -> str:
     """Returns the key under which such requests are counted."""
     return "/".join(part[:MAX_NAME] for part in (service_type, customer, version))
 
@@ -59,7 +59,7 @@
 def merged(one: dict[str, Totals], other: dict[str, Totals]) -> dict[str, Totals]:
     """Returns the larger of each number; neither argument is changed."""
     keys = {**one, **other}
-    return {key: list(map(max, one.get(key, no_totals()), other.get(key, no_totals()))) for key in keys}
+    return {key: list(map(max, one.get(key, zero_totals()), other.get(key, zero_totals()))) for key in keys}
 
 
 @dataclass
@@ -82,12 +82,12 @@
         self.gathered: dict[str, Totals] = {}  # all that members reported, of every start
         self.unsent_aggregates: dict[str, None] = {}  # keys that have changed since, longest ago first
 
-    def note(self, kind: int, service_type: str, customer: str, version: str) -> None:
+    def increment(self, kind: int, service_type: str, customer: str, version: str) -> None:
         """Counts one request of this process under a CountKind."""
-        key = key_of(service_type, customer, version)
+        key = count_key(service_type, customer, version)
         if key not in self.own and len(self.own) >= MAX_KEYS:
             key = OTHER
-        self.own.setdefault(key, no_totals())[kind] += 1
+        self.own.setdefault(key, zero_totals())[kind] += 1
         self.unreported[key] = None
 
     def next_report(self) -> list[Count]:
@@ -107,7 +107,7 @@
         totals = member.totals
         for count in counts:
             key = count.key if count.key in totals or len(totals) < MAX_KEYS else OTHER
-            old = totals.get(key, no_totals())
+            old = totals.get(key, zero_totals())
             new = list(map(max, old, count.totals))
             totals[key] = new
             if new != old:
@@ -116,7 +116,7 @@
     def gather(self, key: str, increase: Totals) -> None:
         """Adds an increase to the aggregate of a key."""
         key = self.bounded_key(key)
-        before = self.gathered.get(key, no_totals())
+        before = self.gathered.get(key, zero_totals())
         self.gathered[key] = [total + more for total, more in zip(before, increase, strict=True)]
         self.receive_aggregates({key: self.gathered[key]})
         self.unsent_aggregates[key] = None
--- a/brambleplank/fleet/leases/leader_election.py
+++ b/brambleplank/fleet/leases/leader_election.py
@@ -48,7 +48,7 @@
     heartbeat: int = 0  # sequence of the newest heartbeat received from it
     is_elected: bool = False  # whether it leads, as it says
 
-    def is_start(self, who: int, incarnation: int) -> bool:
+    def is_incarnation(self, who: int, incarnation: int) -> bool:
         """Returns whether it is that start of that member."""
         return (who, incarnation) == (self.number, self.incarnation)
 
@@ -130,14 +130,14 @@
         is_rival = self.candidacy.is_active and not self.is_leader(now)
         if is_rival and (heartbeat.is_leader or who < self.number):
             self.step_down(now)
-        if not self.followed.is_start(who, heartbeat.incarnation) and now < self.promised_until:
+        if not self.followed.is_incarnation(who, heartbeat.incarnation) and now < self.promised_until:
             return False  # Followed while a promise to another holds, two could lead at once.
         self.follow(now, who, heartbeat)
         return False
 
     def receive_pre_vote_request(self, now: float, who: int, heartbeat: Heartbeat) -> bool:
         """A member that is no candidate asks who would follow it. Returns whether to answer by a pre-vote."""
-        if self.followed.is_start(who, heartbeat.incarnation):
+        if self.followed.is_incarnation(who, heartbeat.incarnation):
             self.release(now)
         if self.candidacy.is_active or now < self.promised_until:
             return False
--- a/brambleplank/fleet/leases/ledger.py
+++ b/brambleplank/fleet/leases/ledger.py
@@ -7,7 +7,7 @@
 from math import inf
 from typing import NamedTuple
 
-from brambleplank.fleet.errors import BrokenError
+from brambleplank.fleet.errors import InvariantError
 from brambleplank.fleet.leases.budgets import Budget
 from brambleplank.fleet.leases.timing import GRANTER_CLOCK_FACTOR, HEARTBEAT_INTERVAL, LEASE_DURATION
 
@@ -75,7 +75,7 @@
         """Returns the units that the borrower may use, counted from its request.
 
         `age` is in seconds since the borrower started, `earlier` are starts of the same member before it.
-        Raises BrokenError if more would be outstanding than there is.
+        Raises InvariantError if more would be outstanding than there is.
         """
         budget = self.budget
         held = min(renewal.held, budget.leasable)
@@ -90,7 +90,7 @@
         claim.amount = max(held, amount)
         if amount > held and self.outstanding(now) > budget.leasable:
             wrong = f"{self.outstanding(now)} units would be out of {budget.leasable}"
-            raise BrokenError(wrong, f"fleet budget {budget.name}")
+            raise InvariantError(wrong, f"fleet budget {budget.name}")
         return amount
 
     def expire_earlier(self, now: float, age: float, earlier: Sequence[Borrower]) -> None:
--- a/brambleplank/fleet/leases/lender.py
+++ b/brambleplank/fleet/leases/lender.py
@@ -27,8 +27,8 @@
     ) -> list[Lease]:
         """Returns leases on the budgets of a request that are known here.
 
-        `earlier` are starts of the same member before. Raises BrokenError if more would be outstanding than
-        there is.
+        `earlier` are starts of the same member before. Raises InvariantError if more would be outstanding
+        than there is.
         """
         leases = []
         for allocation in request.allocations:
--- a/brambleplank/fleet/member.py
+++ b/brambleplank/fleet/member.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from brambleplank.fleet import invariants, messages
-from brambleplank.fleet.errors import BrokenError, ForeignError, UnlentError
+from brambleplank.fleet.errors import DatagramError, InvariantError, UnknownBudgetError
 from brambleplank.fleet.leases.account import Account
 from brambleplank.fleet.leases.budgets import Budget
 from brambleplank.fleet.leases.client import LeaseClient
@@ -85,25 +85,25 @@
         return self.membership.partitioned
 
     def account(self, name: str) -> Account:
-        """Returns this process's part of a budget. Raises UnlentError for a name that is not known."""
+        """Returns this process's part of a budget. Raises UnknownBudgetError for a name that is not known."""
         try:
             return self.accounts[name]
         except KeyError:
-            raise UnlentError(f"no budget of the name {name!r:.40}", "fleet") from None
+            raise UnknownBudgetError(f"no budget of the name {name!r:.40}", "fleet") from None
 
-    def take(self, now: float, name: str) -> bool:
-        """Takes one unit of a budget, if this process may use one more. Raises UnlentError."""
-        taken = self.account(name).take(now)
+    def try_acquire(self, now: float, name: str) -> bool:
+        """Takes one unit of a budget, if this process may use one more. Raises UnknownBudgetError."""
+        taken = self.account(name).try_acquire(now)
         if not taken:
-            self.lease_client.note_refused()
+            self.lease_client.record_refusal()
         if self.check:
             self.check_invariants(now)
         return taken
 
-    def missed(self, now: float, account: Account) -> None:
+    def record_refusal(self, now: float, account: Account) -> None:
         """A unit was wanted, and there was none; a lease is requested soon."""
-        account.refuse(now)
-        self.lease_client.note_refused()
+        account.record_refusal(now)
+        self.lease_client.record_refusal()
 
     def has_lease(self, now: float) -> bool:
         """Returns whether the leader has answered within the length of a lease."""
@@ -119,7 +119,7 @@
         """Takes a turn, about every tenth of a second."""
         try:
             self.take_turn(now)
-        except BrokenError as broken:
+        except InvariantError as broken:
             self.recover(now, broken)
 
     def take_turn(self, now: float) -> None:
@@ -209,7 +209,7 @@
             invariants.check(now, [*self.accounts.values()], ledgers, self.coverage(now))
             invariants.check_ceiling(passed_over, servers)
             self.monotonic.check()
-        except BrokenError as broken:
+        except InvariantError as broken:
             self.recover(now, broken)
 
     def monotonic_values(self) -> dict[str, int]:
@@ -218,7 +218,7 @@
         values["counts"] = sum(map(sum, self.counts.fleet.values()))
         return values
 
-    def recover(self, now: float, broken: BrokenError) -> None:
+    def recover(self, now: float, broken: InvariantError) -> None:
         """Logs a broken invariant, and goes on with the reserve alone."""
         self.log(f"fleet: {broken.with_advice()}")
         self.monotonic.accept()  # once logged is enough
@@ -233,16 +233,16 @@
         self.say(messages.encode(message), to)
 
     def receive_datagram(self, now: float, who: int, data: bytes) -> None:
-        """Takes a datagram. Raises ForeignError for what is no message, or comes from no member."""
+        """Takes a datagram. Raises DatagramError for what is no message, or comes from no member."""
         try:
             self.receive(now, who, messages.decode(data))
-        except BrokenError as broken:
+        except InvariantError as broken:
             self.recover(now, broken)
 
     def receive(self, now: float, who: int, message: messages.Any) -> None:
         """Takes a message of another member, unless an older start of it has sent it."""
         if not self.membership.is_other(who):
-            raise ForeignError(f"from no other member: {who}", "fleet")
+            raise DatagramError(f"from no other member: {who}", "fleet")
         member = self.membership.state(who)
         if message.incarnation < member.incarnation:
             # Late, by a start that is over; or its clock was set back.
@@ -278,7 +278,7 @@
 
     def follows(self, who: int, incarnation: int) -> bool:
         """Returns whether this process follows that start of a member."""
-        return self.election.followed.is_start(who, incarnation)
+        return self.election.followed.is_incarnation(who, incarnation)
 
     def follows_leader(self, who: int, incarnation: int) -> bool:
         """Returns whether this process follows that start of a member, and it leads."""
@@ -324,7 +324,7 @@
         borrower = Borrower(who, request.incarnation)
         try:
             leases = self.lender.grant(now, borrower, request, earlier)
-        except BrokenError as broken:
+        except InvariantError as broken:
             self.recover(now, broken)
             return
         grant = messages.LeaseGrant(self.identity.incarnation, request.incarnation, request.sequence, leases)
--- a/brambleplank/fleet/messages.py
+++ b/brambleplank/fleet/messages.py
@@ -12,9 +12,9 @@
 import msgspec
 from msgspec import Meta
 
-from brambleplank.fleet.errors import ForeignError
+from brambleplank.fleet.errors import DatagramError
 
-FORMAT = 2  # the first byte of a datagram
+FORMAT_BYTE = 2  # the first byte of a datagram
 MAX_DATAGRAM = 256  # bytes, the limit of the platform
 MAX_NAME = 40  # characters of one part of a counted key
 MAX_SERVERS = 40  # servers named in one message; more take several
@@ -219,18 +219,18 @@
 
 
 def encode(message: Message) -> bytes:
-    """The datagram of a message. Raises ForeignError for one over the limit; its builder bounds its size."""
-    data = bytes([FORMAT]) + ENCODER.encode(message)
+    """The datagram of a message. Raises DatagramError for one over the limit; its builder bounds its size."""
+    data = bytes([FORMAT_BYTE]) + ENCODER.encode(message)
     if len(data) > MAX_DATAGRAM:
-        raise ForeignError(f"{type(message).__name__} of {len(data)} bytes, {MAX_DATAGRAM} at most", "fleet")
+        raise DatagramError(f"{type(message).__name__} of {len(data)} bytes, {MAX_DATAGRAM} at most", "fleet")
     return data
 
 
 def decode(data: bytes) -> Any:
-    """The message of a datagram. Raises ForeignError if there is none in it."""
-    if not data or data[0] != FORMAT or len(data) > MAX_DATAGRAM:
-        raise ForeignError(f"{len(data)} bytes of no form that is known", "fleet")
+    """The message of a datagram. Raises DatagramError if there is none in it."""
+    if not data or data[0] != FORMAT_BYTE or len(data) > MAX_DATAGRAM:
+        raise DatagramError(f"{len(data)} bytes of no form that is known", "fleet")
     try:
         return DECODER.decode(data[1:])
     except (msgspec.DecodeError, RecursionError) as error:
-        raise ForeignError(str(error), "fleet") from None
+        raise DatagramError(str(error), "fleet") from None
--- a/brambleplank/fleet/reports.py
+++ b/brambleplank/fleet/reports.py
@@ -56,7 +56,7 @@
         """Takes this process's own report."""
         number = self.identity.number
         self.counts.receive_report(number, self.identity.incarnation, self.counts.next_report())
-        observations = self.server_observer.recent_opinions(now)
+        observations = self.server_observer.recent_observations(now)
         failing_total = len(observations.failing)
         self.server_observer.receive_observations(
             now, number, observations, observations.total, failing_total
@@ -68,7 +68,7 @@
         counts = self.counts.next_report()
         if counts:
             self.send(messages.CountReport(incarnation, counts), leader)
-        observations = self.server_observer.recent_opinions(now)
+        observations = self.server_observer.recent_observations(now)
         for part in self.server_observer.next_reports(now, messages.MAX_SERVERS):
             message = messages.ServerObservations(
                 incarnation,
--- a/brambleplank/fleet/retirement/evidence.py
+++ b/brambleplank/fleet/retirement/evidence.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-from brambleplank.fleet.leases.counts import CountKind, Coverage, Totals, key_of, no_totals
+from brambleplank.fleet.leases.counts import CountKind, Coverage, Totals, count_key, zero_totals
 from brambleplank.fleet.retirement.plan import Retirement, Stage, Step
 
 EVIDENCE_WINDOW = 60.0  # seconds over which evidence is weighed
@@ -46,17 +46,17 @@
 
     def lately(self, service_type: str, version: str, customer: str | None = None) -> Totals:
         """Returns what was counted in the last window, of one customer or of all."""
-        found = no_totals()
+        found = zero_totals()
         if not self.samples:
             return found
-        wanted = key_of(service_type, "", version)
+        wanted = count_key(service_type, "", version)
         first = self.samples[0].counts
         for key, totals in self.counts.items():
             counted_type, _, rest = key.partition("/")
             counted_customer, _, counted_version = rest.partition("/")
             if f"{counted_type}//{counted_version}" != wanted or customer not in (None, counted_customer):
                 continue
-            old = first.get(key, no_totals())
+            old = first.get(key, zero_totals())
             found = [n + max(0, a - b) for n, a, b in zip(found, totals, old, strict=True)]
         return found
 
--- a/brambleplank/fleet/retirement/progress.py
+++ b/brambleplank/fleet/retirement/progress.py
@@ -145,7 +145,7 @@
         may_halt = step.stage != Stage.ENDED
         if may_halt and (place.halted or self.fleet.partitioned or not self.fleet.has_lease(now)):
             return False  # Partitioned, it would not receive a halt; callers are served until it can.
-        return not retirement.ceiling or self.fleet.take(now, retirement.ceiling)
+        return not retirement.ceiling or self.fleet.try_acquire(now, retirement.ceiling)
 
     def moves(self, now: float, retirement: Retirement, standing: int) -> int:
         """Returns how many of the sessions with an ended version are to be migrated in this second."""
@@ -157,7 +157,7 @@
         if not retirement.moves:
             return wanted
         count = 0
-        while count < wanted and self.fleet.take(now, retirement.moves):
+        while count < wanted and self.fleet.try_acquire(now, retirement.moves):
             count += 1
         return count
 
--- a/brambleplank/fleet/routing/admission.py
+++ b/brambleplank/fleet/routing/admission.py
@@ -144,16 +144,16 @@
         if not self.are_available(now, [budget.account for budget in needed]):
             return False
         for budget in needed:
-            self.fleet.take(now, budget.table.name)
+            self.fleet.try_acquire(now, budget.table.name)
             if budget.table.of == "connections":
                 request.open_units.append(budget.account)
         return True
 
     def are_available(self, now: float, accounts: list[Account]) -> bool:
         """Returns whether all of these accounts have a unit; leases are requested for those that have not."""
-        short = [account for account in accounts if not account.free(now)]
+        short = [account for account in accounts if not account.has_free_unit(now)]
         for account in short:
-            self.fleet.missed(now, account)
+            self.fleet.record_refusal(now, account)
         return not short
 
     def warn(self, retirement: Retirement, request: AdmittedRequest) -> None:
@@ -221,7 +221,7 @@
         ]
         if not self.are_available(now, needed):
             return False
-        return all(self.fleet.take(now, account.budget.name) for account in needed)
+        return all(self.fleet.try_acquire(now, account.budget.name) for account in needed)
 
     def request_established(self, flow: Any) -> None:
         """Counts a request as established, once."""
@@ -242,4 +242,4 @@
 
     def note(self, kind: CountKind, request: AdmittedRequest) -> None:
         """Counts a request."""
-        self.fleet.counts.note(kind, request.service_type, request.customer, request.version)
+        self.fleet.counts.increment(kind, request.service_type, request.customer, request.version)
--- a/brambleplank/fleet/server_observations.py
+++ b/brambleplank/fleet/server_observations.py
@@ -111,7 +111,7 @@
         while len(self.attempts) > MAX_SERVERS:
             del self.attempts[next(iter(self.attempts))]
 
-    def recent_opinions(self, now: float) -> Observations:
+    def recent_observations(self, now: float) -> Observations:
         """Returns the servers that this process found healthy and failing lately."""
         lately = {
             tag: attempts
@@ -124,7 +124,7 @@
 
     def next_reports(self, now: float, size: int) -> list[Observations]:
         """Returns the next servers to report, in turn, at most so many in each message."""
-        observations = self.recent_opinions(now)
+        observations = self.recent_observations(now)
         healthy = set(observations.healthy)
         failing = set(observations.failing)
         if not self.unreported:
--- a/brambleplank/fleet/shapes.py
+++ b/brambleplank/fleet/shapes.py
@@ -113,7 +113,7 @@
         ]
 
 
-def judge(
+def check_budgets(
     reading: DocumentReader,
     table: Fleet,
     service_types: Collection[str],
@@ -178,7 +178,7 @@
         reading.add_fault(at, "missing", 'write window = "10s"')
 
 
-def judge_members(reading: DocumentReader, table: Fleet, sidecars: int, at: KeyPath) -> None:
+def check_members(reading: DocumentReader, table: Fleet, sidecars: int, at: KeyPath) -> None:
     """Adds every fault of the members, where they are named in the table itself."""
     if len(table.members) != sidecars:
         reading.add_fault(
--- a/brambleplank/fleet/versions/agreement.py
+++ b/brambleplank/fleet/versions/agreement.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from brambleplank.fleet import messages
-from brambleplank.fleet.errors import BrokenError
+from brambleplank.fleet.errors import InvariantError
 from brambleplank.fleet.versions.identity import AgreementCallbacks, AgreementIdentity
 from brambleplank.fleet.versions.proposer import Proposer, PublicationRequest
 from brambleplank.fleet.versions.reviews import TextReviews
@@ -257,9 +257,9 @@
         self.accepted = NOTHING_ACCEPTED
 
     def put_in_force(self, number: int, digest: int) -> None:
-        """Applies a version. Raises BrokenError if it is not newer than the one in force."""
+        """Applies a version. Raises InvariantError if it is not newer than the one in force."""
         if number <= self.version:
-            raise BrokenError(f"version {number} after {self.version}", f"fleet {self.identity.name}")
+            raise InvariantError(f"version {number} after {self.version}", f"fleet {self.identity.name}")
         self.version = number
         self.digest = digest
         self.is_current = True
--- a/brambleplank/fleet/versions/agreements.py
+++ b/brambleplank/fleet/versions/agreements.py
@@ -79,7 +79,7 @@
     ) -> None:
         """Hands a message to its agreement; what only a leader may say, if it is from the one followed."""
         followed = self.election.followed
-        is_followed = followed.is_start(who, message.incarnation)
+        is_followed = followed.is_incarnation(who, message.incarnation)
         match message:
             case messages.VersionAnnouncement():
                 if is_followed and followed.is_elected:
--- a/brambleplank/net/fleet_link.py
+++ b/brambleplank/net/fleet_link.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from brambleplank.decisions.balancer import Balancer
-from brambleplank.fleet.errors import ForeignError
+from brambleplank.fleet.errors import DatagramError
 from brambleplank.fleet.member import FleetMember
 from brambleplank.fleet.retirement.plan import Step
 from brambleplank.fleet.retirement.progress import RetirementProgress
@@ -153,7 +153,7 @@
         """Reads a datagram of the member of that number; what is not of this fleet is ignored."""
         try:
             self.fleet.receive_datagram(self._clock.now(), member, data)
-        except ForeignError as error:
+        except DatagramError as error:
             self._ignored_datagrams += 1
             if is_logged_occurrence(self._ignored_datagrams):
                 text = f"fleet: datagram of member {member} ignored, {self._ignored_datagrams} so far"
--- a/brambleplank/platform/configuration.py
+++ b/brambleplank/platform/configuration.py
@@ -214,7 +214,7 @@
             raise InvalidConfigurationError(
                 "fleet.members: here they are the peers; leave listen and members out"
             )
-        shapes.judge(reading, table, settings.traffic_classes, settings.tenants, ("fleet",))
+        shapes.check_budgets(reading, table, settings.traffic_classes, settings.tenants, ("fleet",))
     if reading.faults:
         fault = min(reading.faults)
         raise InvalidConfigurationError(f"{fault.key}: {fault.wrong}; {fault.instead}")
--- a/brambleplank/platform/fleet_membership.py
+++ b/brambleplank/platform/fleet_membership.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from brambleplank.checks import InvalidConfigurationError
-from brambleplank.fleet.messages import FORMAT
+from brambleplank.fleet.messages import FORMAT_BYTE
 from brambleplank.fleet.routing.active_routes import TableError
 from brambleplank.fleet.shapes import FleetSettings
 from brambleplank.net.fleet_link import FleetLink
@@ -35,4 +35,6 @@
     except TableError as error:
         raise InvalidConfigurationError(f"fleet.routes: {fleet.routes}: {error}") from None
     proxy.requests.set_fleet_admission(fleet_link)
-    peers.add_reader(FORMAT, lambda data, number: fleet_link.datagram_received(data, number - first_number))
+    peers.add_reader(
+        FORMAT_BYTE, lambda data, number: fleet_link.datagram_received(data, number - first_number)
+    )
--- a/brambleplank/sidecar/rules.py
+++ b/brambleplank/sidecar/rules.py
@@ -18,8 +18,7 @@
     check_end_is_last,
     report_missing_end,
 )
-from brambleplank.fleet.shapes import judge as judge_fleet
-from brambleplank.fleet.shapes import judge_members
+from brambleplank.fleet.shapes import check_budgets, check_members
 from brambleplank.sidecar.shapes import ASKED_FOR, File
 from brambleplank.tables import DocumentReader, duration_text, judged, size_text
 
@@ -97,8 +96,8 @@
     """Who shares what with whom, where anything is."""
     if file.fleet is not None:
         kinds = [kind.name for kind in file.service_type]
-        judge_fleet(reading, file.fleet, kinds, file.customers, ("fleet",))
-        judge_members(reading, file.fleet, file.sidecars, ("fleet",))
+        check_budgets(reading, file.fleet, kinds, file.customers, ("fleet",))
+        check_members(reading, file.fleet, file.sidecars, ("fleet",))
 
 
 def customer(reading: DocumentReader, file: File, n: int) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 
 from benchmarks.fleet_simulation import FleetSimulation, play_leadership_contests, play_random_faults
 from brambleplank.fleet import member, messages
-from brambleplank.fleet.errors import BrokenError, ForeignError
+from brambleplank.fleet.errors import DatagramError, InvariantError
 from brambleplank.fleet.leases import budgets
 from brambleplank.fleet.leases.account import Account, SpendingWindow
 from brambleplank.fleet.leases.budgets import Budget
@@ -35,7 +35,7 @@
 
 
 def play(seed: int, steps: int = 12) -> None:
-    """Raises BrokenError; a line of a member that broke is one as well."""
+    """Raises InvariantError; a line of a member that broke is one as well."""
     simulation, act = simulation_of(seed)
     if seed % 25:
         play_random_faults(simulation, steps, act)
@@ -44,7 +44,7 @@
     for node in simulation.nodes:
         for line in node.log_lines:
             if "report" in line:
-                raise BrokenError(line)
+                raise InvariantError(line)
 
 
 @pytest.mark.parametrize("first", range(0, 2400, 150))
@@ -53,7 +53,7 @@
     for seed in range(first, first + 150):
         try:
             play(seed)
-        except BrokenError as broken:
+        except InvariantError as broken:
             raise AssertionError(f"play({seed})") from broken
 
 
@@ -178,7 +178,7 @@
     "any pre-vote request releases from a promise": (
         LeaderElection,
         "receive_pre_vote_request",
-        "self.followed.is_start(who, heartbeat.incarnation)",
+        "self.followed.is_incarnation(who, heartbeat.incarnation)",
         "True",
     ),
     "support counts from its arrival": (
@@ -197,7 +197,7 @@
         monkeypatch.setattr(of, name, changed(getattr(of, name), old, new))
     # A fault that a few plays in a hundred meet; which seeds do so changes with each change of the schedule.
     seeds = [25 * n for n in range(40)] if of in (LeaderElection, Candidacy) else range(1, 300)
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantError):
         for seed in seeds:
             play(seed, 30)
 
@@ -208,7 +208,7 @@
     for seed in range(10):
         holder_is_killed(seed)
     monkeypatch.setattr(budgets, "CONNECTION_EXPIRY", 0.0)
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantError):
         for seed in range(10):
             holder_is_killed(seed)
 
@@ -300,10 +300,10 @@
     simulation = FleetSimulation(2, [Budget("rate", 10, 1.0, 2)], 1)
     node = simulation.nodes[0]
     assert node.fleet
-    for datagram in (data, bytes([messages.FORMAT]) + data):
+    for datagram in (data, bytes([messages.FORMAT_BYTE]) + data):
         try:
             node.fleet.receive_datagram(0.0, 1, datagram)
-        except ForeignError as error:
+        except DatagramError as error:
             assert "nothing was taken up" in error.with_advice()
 
 
--- a/tests/test_fleet_reports.py
+++ b/tests/test_fleet_reports.py
@@ -43,7 +43,7 @@
         if rng.random() < 0.1:
             starts[who] = incarnation + 1, Counts()
             continue
-        own.note(CountKind.SERVED, "feed", "acme", "")
+        own.increment(CountKind.SERVED, "feed", "acme", "")
         truth += 1
         reports.append((who, incarnation, own.next_report()))
         arriving = [reports[-1]] if rng.random() < 0.6 else rng.sample(reports, min(2, len(reports)))
@@ -64,7 +64,7 @@
     own = Counts()
     leader_counts = Counts()
     for n in range(3 * counts.MAX_KEYS):
-        own.note(CountKind.SERVED, "feed", f"customer{n}", "")
+        own.increment(CountKind.SERVED, "feed", f"customer{n}", "")
     while report := own.next_report():
         leader_counts.receive_report(1, 1, report)
     assert len(own.own) <= counts.MAX_KEYS + 1 and len(leader_counts.fleet) <= counts.MAX_KEYS + 1
@@ -135,7 +135,9 @@
     for node in simulation.nodes:
         assert node.fleet
         for customer in range(30):
-            node.fleet.counts.note(CountKind.SERVED, "feed", f"a customer of many letters {customer}", "v1")
+            node.fleet.counts.increment(
+                CountKind.SERVED, "feed", f"a customer of many letters {customer}", "v1"
+            )
     simulation.run(30)
     for node in simulation.nodes:
         assert node.fleet and sum(t[CountKind.SERVED] for t in node.fleet.counts.fleet.values()) == 150
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -182,7 +182,7 @@
     for _ in range(server_observations.FAILURES_TO_REPORT):
         for name in ("s-0003", "s-0001"):
             shares.attempt_finished(sender.servers[name], False)
-    good, bad = shares.fleet.server_observer.recent_opinions(sender.proxy.clock.now())
+    good, bad = shares.fleet.server_observer.recent_observations(sender.proxy.clock.now())
     assert good == [] and len(bad) == 1
 
 
@@ -341,7 +341,7 @@
     assert {fleet.coverage(members.now).reachable for fleet in members.fleets} == {PROCESSES}
     assert all(fleet.has_lease(members.now) for fleet in members.fleets)
     for fleet in members.fleets:
-        fleet.counts.note(1, "feed", "acme", "v1")
+        fleet.counts.increment(1, "feed", "acme", "v1")
     tags = members.tags()
     bad = tags[::5][:200]
     for fleet in members.fleets[1:4]:
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.fleet_simulation import FleetSimulation, SimulatedMember
-from brambleplank.fleet.errors import BrokenError
+from brambleplank.fleet.errors import InvariantError
 from brambleplank.fleet.leases.budgets import Budget
 from brambleplank.fleet.leases.counts import CountKind
 from brambleplank.fleet.retirement.plan import Stage, Step, caller_position, steps_of, turns_away
@@ -194,7 +194,7 @@
                 found = retiring.positions.get("maps v1")
                 step = found.step if found else -1
                 if step < steps[-1] and steps[-1] != -1 and steps[-2:] != [-1]:
-                    raise BrokenError(f"step {step} after {steps[-1]} at {n}", "retirement")
+                    raise InvariantError(f"step {step} after {steps[-1]} at {n}", "retirement")
                 if step != steps[-1]:
                     steps.append(step)
             self.at(self.now + 0.1, turn)
@@ -373,7 +373,7 @@
     simulation.up_to(30)
     retiring = simulation.retiring[0]
     retiring.positions["maps v1"] = Place("maps v1", 0)
-    with pytest.raises(BrokenError):  # as seen from outside
+    with pytest.raises(InvariantError):  # as seen from outside
         simulation.run(0.5)
     simulation.steps[0].append(0)
     simulation.run(0.5)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -14,7 +14,7 @@
 
 from benchmarks.fleet_simulation import FleetSimulation, SimulatedMember, play_random_faults
 from brambleplank.fleet import messages
-from brambleplank.fleet.errors import BrokenError
+from brambleplank.fleet.errors import InvariantError
 from brambleplank.fleet.routing import route_table
 from brambleplank.fleet.routing.lint import LintContext, lint
 from brambleplank.fleet.versions import proposer
@@ -181,7 +181,7 @@
 
         def take_up(number: int, digest: int) -> None:
             if self.known.setdefault(number, digest) != digest:
-                raise BrokenError(f"edition {number} is two texts", "editions")
+                raise InvariantError(f"edition {number} is two texts", "editions")
             self.history[node.number].append((node.start_number, number))
 
         made = VersionAgreement(
@@ -320,7 +320,7 @@
     simulation.links = type(simulation.links)()
     simulation.run(60)
     if len(simulation.digests()) != 1:
-        raise BrokenError(f"{len(simulation.digests())} texts after the heal", "editions")
+        raise InvariantError(f"{len(simulation.digests())} texts after the heal", "editions")
 
 
 @pytest.mark.parametrize("first", range(0, 160, 20))
@@ -328,14 +328,14 @@
     for seed in range(first, first + 20):
         try:
             agree(seed)
-        except BrokenError as broken:
+        except InvariantError as broken:
             raise AssertionError(f"agree({seed})") from broken
 
 
 def test_leader_without_recovery_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     """The faults: a new office asks nobody; members give up what they agreed to at any office's word."""
     monkeypatch.setattr(Proposer, "recover", lambda self, now: setattr(self, "recovered", True))
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantError):
         for seed in range(60):
             agree(seed)
 
