--- a/brambleplank/fleet/invariants.py
+++ b/brambleplank/fleet/invariants.py
@@ -12,7 +12,7 @@
 from brambleplank.fleet.leases.account import Account
 from brambleplank.fleet.leases.counts import Coverage
 from brambleplank.fleet.leases.ledger import Ledger
-from brambleplank.fleet.server_observations import CEILING
+from brambleplank.fleet.server_observations import MAX_EJECTED_SHARE
 
 
 def check(now: float, accounts: Sequence[Account], ledgers: Sequence[Ledger], coverage: Coverage) -> None:
@@ -28,13 +28,13 @@
 def check_account(now: float, account: Account) -> None:
     """Raises InvariantError where more is leased or used than there can be."""
     budget = account.budget
-    where = f"fleet budget {budget.name}"
+    location = f"fleet budget {budget.name}"
     if not 0 <= account.leased <= budget.leasable:
-        raise InvariantError(f"{account.leased} are lent of {budget.leasable}", where)
+        raise InvariantError(f"{account.leased} are lent of {budget.leasable}", location)
     most = budget.leasable + account.reserve
     used = account.used(now)
     if not 0 <= used <= most:
-        raise InvariantError(f"{used} are used of {most}", where)
+        raise InvariantError(f"{used} are used of {most}", location)
 
 
 def check_ledger(now: float, ledger: Ledger) -> None:
@@ -47,19 +47,17 @@
         )
 
 
-def check_grows(before: Mapping[str, int], now: Mapping[str, int]) -> None:
+def check_monotonic(previous: Mapping[str, int], current: Mapping[str, int]) -> None:
     """Of versions, counts and steps of retirements, by name. Raises InvariantError where one has fallen."""
-    for name, value in now.items():
-        if value < before.get(name, value):
-            raise InvariantError(f"{value} after {before[name]}", f"fleet {name}")
+    for name, value in current.items():
+        if value < previous.get(name, value):
+            raise InvariantError(f"{value} after {previous[name]}", f"fleet {name}")
 
 
-def check_ceiling(passed_over: Sequence[int], servers: Sequence[int]) -> None:
+def check_ejection_limit(ejected: Sequence[int], servers: Sequence[int]) -> None:
     """Raises InvariantError where more servers are judged bad than may be at once."""
-    if len(passed_over) > CEILING * len(servers):
-        raise InvariantError(
-            f"{len(passed_over)} of {len(servers)} servers are passed over", "fleet judgements"
-        )
+    if len(ejected) > MAX_EJECTED_SHARE * len(servers):
+        raise InvariantError(f"{len(ejected)} of {len(servers)} servers are passed over", "fleet judgements")
 
 
 class MonotonicValues:
@@ -83,7 +81,7 @@
     def check(self) -> None:
         """Raises InvariantError where a value has fallen since the last check."""
         current = self.current()
-        check_grows(self.last, current)
+        check_monotonic(self.last, current)
         self.last = current
 
     def accept(self) -> None:
--- a/brambleplank/fleet/leases/account.py
+++ b/brambleplank/fleet/leases/account.py
@@ -15,14 +15,14 @@
     MAX_CLOCK_DRIFT,
 )
 
-STEPS = 512  # parts of a window in which spending is remembered
+WINDOW_STEPS = 512  # parts of a window in which spending is remembered
 HEADROOM = 1 / 4  # over what was requested lately, so that a rise finds room
 
 
 class SpendingStep(NamedTuple):
     """What was spent in one part of a window."""
 
-    until: float  # when it leaves the window
+    expires_at: float  # when it leaves the window
     units: int
 
 
@@ -31,7 +31,7 @@
 
     def __init__(self, window: float) -> None:
         self.window = window  # seconds
-        self.step_length = window / STEPS
+        self.step_length = window / WINDOW_STEPS
         self.steps: deque[SpendingStep] = deque()
         self.total = 0
 
@@ -39,17 +39,17 @@
         """Records units that are spent now."""
         self.expire(now)
         self.total += units
-        until = now + self.window
-        if self.steps and self.steps[-1].until > until:
+        expires_at = now + self.window
+        if self.steps and self.steps[-1].expires_at > expires_at:
             last = self.steps.pop()
-            self.steps.append(SpendingStep(last.until, last.units + units))
+            self.steps.append(SpendingStep(last.expires_at, last.units + units))
         else:
             # Later units of this step go with it.
-            self.steps.append(SpendingStep(until + self.step_length, units))
+            self.steps.append(SpendingStep(expires_at + self.step_length, units))
 
     def expire(self, now: float) -> int:
         """Forgets what has left the window, and returns the units that are in it."""
-        while self.steps and self.steps[0].until <= now:
+        while self.steps and self.steps[0].expires_at <= now:
             self.total -= self.steps.popleft().units
         return self.total
 
@@ -60,15 +60,15 @@
     def __init__(self, budget: Budget, number: int, now: float) -> None:
         self.budget = budget
         self.reserve = budget.reserve(number)
-        self.held = 0  # open units of a count
-        self.begin_anew(now)
+        self.open_units = 0  # open units of a count
+        self.reset(now)
 
-    def begin_anew(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Starts over. What the process before has used of the reserve is not known, so it is waited out.
 
         Open units of a count stay with this process.
         """
-        self.reserve_from = now + self.budget.memory
+        self.reserve_usable_from = now + self.budget.usage_expiry
         self.leased = 0
         self.leased_until = -inf  # the lease of a count does not expire
         window = self.budget.window
@@ -77,16 +77,16 @@
 
     def usable_reserve(self, now: float) -> int:
         """Returns the units that this process may use without a lease."""
-        return self.reserve if now >= self.reserve_from else 0
+        return self.reserve if now >= self.reserve_usable_from else 0
 
     def allowance(self, now: float) -> int:
         """Returns the units that this process may use at all."""
-        lease_counts = not self.budget.window or now < self.leased_until
-        return (self.leased if lease_counts else 0) + self.usable_reserve(now)
+        lease_valid = not self.budget.window or now < self.leased_until
+        return (self.leased if lease_valid else 0) + self.usable_reserve(now)
 
     def used(self, now: float) -> int:
         """Returns the units in use: spent within the window, or open."""
-        return self.spent.expire(now) if self.budget.window else self.held
+        return self.spent.expire(now) if self.budget.window else self.open_units
 
     def has_free_unit(self, now: float) -> bool:
         """Returns whether one more unit may be used."""
@@ -100,7 +100,7 @@
         if self.budget.window:
             self.spent.add(now)
         else:
-            self.held += 1
+            self.open_units += 1
         return True
 
     def record_refusal(self, now: float) -> None:
@@ -109,12 +109,12 @@
 
     def adopt(self) -> None:
         """Adds an open unit of a count from before this process began, whatever is allowed."""
-        self.held += 1
+        self.open_units += 1
 
     def release(self) -> None:
         """Frees one unit of a count. Raises InvariantError if none is open."""
-        self.held -= 1
-        if self.held < 0:
+        self.open_units -= 1
+        if self.open_units < 0:
             raise InvariantError("more was given back than was taken", f"fleet budget {self.budget.name}")
 
     def release_unused(self, now: float) -> int:
@@ -124,20 +124,20 @@
         """
         in_use = max(0, self.used(now) - self.usable_reserve(now))
         still_leased = self.leased if not self.budget.window or now < self.leased_until else 0
-        self.leased = min(still_leased, max(in_use, self.wants(now)))
+        self.leased = min(still_leased, max(in_use, self.wanted_units(now)))
         return max(self.leased, in_use)
 
-    def wants(self, now: float) -> int:
+    def wanted_units(self, now: float) -> int:
         """Returns the units to ask a lease for."""
         requested = self.used(now) + self.refused.expire(now)
         if not requested:
             return 0
         return max(0, ceil(requested * (1 + HEADROOM)) + 1 - self.reserve)
 
-    def receive_lease(self, asked_at: float, amount: int) -> None:
+    def receive_lease(self, requested_at: float, amount: int) -> None:
         """Takes a lease from the time of its request on; a faulty leader cannot grant more than there is."""
         self.leased = min(amount, self.budget.leasable)
-        self.leased_until = asked_at + LEASE_DURATION * HOLDER_CLOCK_FACTOR
+        self.leased_until = requested_at + LEASE_DURATION * HOLDER_CLOCK_FACTOR
 
     def drop_lease(self) -> None:
         """Goes on with the reserve alone, where the rest cannot be trusted."""
--- a/brambleplank/fleet/leases/budgets.py
+++ b/brambleplank/fleet/leases/budgets.py
@@ -20,7 +20,7 @@
 from brambleplank.fleet.leases.timing import GRANTER_CLOCK_FACTOR
 
 CONNECTION_EXPIRY = 7.0  # seconds after a process's end by which its connections are known to be gone
-DEFAULT_RESERVES = 0.03  # share of the limit
+DEFAULT_RESERVE_SHARE = 0.03  # share of the limit
 
 
 @dataclass(frozen=True)
@@ -31,18 +31,18 @@
     limit: int  # units in any window, or at any instant
     window: float  # seconds; 0: a count of open units
     members: int
-    reserves: float = DEFAULT_RESERVES  # share of the limit in all reserves together
+    reserve_share: float = DEFAULT_RESERVE_SHARE  # share of the limit in all reserves together
 
     @cached_property
     def tag(self) -> int:
         """Names the budget in messages; one with other settings has another tag, and is leased apart."""
-        text = f"{self.name} {self.limit} {self.window} {self.members} {self.reserves}"
+        text = f"{self.name} {self.limit} {self.window} {self.members} {self.reserve_share}"
         return zlib.crc32(text.encode())
 
     @cached_property
     def reserved(self) -> int:
         """Units in all reserves together."""
-        return int(self.limit * self.reserves)
+        return int(self.limit * self.reserve_share)
 
     @property
     def leasable(self) -> int:
@@ -50,7 +50,7 @@
         return self.limit - self.reserved
 
     @property
-    def memory(self) -> float:
+    def usage_expiry(self) -> float:
         """Seconds after which a process that has ended uses nothing any more."""
         return (self.window or CONNECTION_EXPIRY) * GRANTER_CLOCK_FACTOR
 
--- a/brambleplank/fleet/leases/candidacy.py
+++ b/brambleplank/fleet/leases/candidacy.py
@@ -4,7 +4,7 @@
 
 from brambleplank.fleet.leases.timing import HOLDER_CLOCK_FACTOR, LEASE_DURATION
 
-HEARTBEATS_KEPT = 16
+MAX_SENT_HEARTBEATS = 16
 NEVER = float("-inf")
 
 
@@ -17,7 +17,7 @@
     def record(self, sequence: int, now: float) -> None:
         """Notes a heartbeat that is sent now, and forgets the oldest beyond the limit."""
         self.times[sequence] = now
-        while len(self.times) > HEARTBEATS_KEPT:
+        while len(self.times) > MAX_SENT_HEARTBEATS:
             del self.times[next(iter(self.times))]
 
     def clear(self) -> None:
@@ -33,15 +33,15 @@
         self.requests = SentHeartbeats()
         self.requested_at: dict[int, float] = {}  # when each member's pre-vote was requested
 
-    def receive(self, who: int, sequence: int) -> None:
+    def receive(self, sender: int, sequence: int) -> None:
         """Takes a member's answer to the request of that sequence number."""
         if sequence in self.requests.times:
-            self.requested_at[who] = self.requests.times[sequence]
+            self.requested_at[sender] = self.requests.times[sequence]
 
     def is_majority(self, now: float) -> bool:
         """Returns whether a majority, this process included, would follow it as of lately."""
-        lately = sum(at > now - LEASE_DURATION / 2 for at in self.requested_at.values())
-        return 1 + lately >= self.majority
+        recent = sum(at > now - LEASE_DURATION / 2 for at in self.requested_at.values())
+        return 1 + recent >= self.majority
 
     def clear(self) -> None:
         """Forgets the answers. They do not count for another candidacy."""
@@ -92,12 +92,12 @@
         self.leader_since = None
         return False
 
-    def is_from_this_term(self, sequence: int) -> bool:
+    def sent_in_current_term(self, sequence: int) -> bool:
         """Returns whether a heartbeat was sent since this process has led without a gap."""
         sent_at = self.heartbeats.times.get(sequence, NEVER)
         return self.leader_since is not None and sent_at >= self.leader_since
 
-    def add_support(self, now: float, who: int, sequence: int) -> bool:
+    def add_support(self, now: float, sender: int, sequence: int) -> bool:
         """Counts a member that names the heartbeat it promised for. Returns whether that one is known.
 
         Counted from now and not from that heartbeat, the support would outlast the promise.
@@ -106,11 +106,11 @@
             return False
         if now >= self.support_expiry():
             self.leader_since = None
-        until = self.heartbeats.times[sequence] + LEASE_DURATION * HOLDER_CLOCK_FACTOR
-        self.supporters[who] = max(until, self.supporters.get(who, until))
+        expires_at = self.heartbeats.times[sequence] + LEASE_DURATION * HOLDER_CLOCK_FACTOR
+        self.supporters[sender] = max(expires_at, self.supporters.get(sender, expires_at))
         return True
 
-    def lead_if_supported(self, now: float, lowest_term: int) -> None:
+    def become_leader_if_supported(self, now: float, lowest_term: int) -> None:
         """Begins to lead once a majority supports this process.
 
         With a lower term than the last leader's, an older agreement would replace a newer one.
--- a/brambleplank/fleet/leases/client.py
+++ b/brambleplank/fleet/leases/client.py
@@ -12,10 +12,10 @@
 from brambleplank.fleet.leases.timing import HEARTBEAT_INTERVAL, LEASE_DURATION
 from brambleplank.fleet.messages import Allocation, Heartbeat, LeaseGrant, LeaseRequest
 
-EARLY_RETRY = 0.25  # seconds between two requests, where a unit was refused for lack of a lease
-BACKOFF = 1.5  # factor from one wait to the next while no answer comes
+EARLY_RETRY_INTERVAL = 0.25  # seconds between two requests, where a unit was refused for lack of a lease
+BACKOFF_FACTOR = 1.5  # factor from one wait to the next while no answer comes
 MAX_RETRY_WAIT = 2 * HEARTBEAT_INTERVAL  # seconds
-MS = 1000  # in a second
+MS_PER_SECOND = 1000  # in a second
 
 
 class Identity(Protocol):
@@ -69,7 +69,7 @@
             return True
         if not self.unit_refused:
             return False
-        wait = exponential_backoff(EARLY_RETRY, BACKOFF, self.unanswered, MAX_RETRY_WAIT)
+        wait = exponential_backoff(EARLY_RETRY_INTERVAL, BACKOFF_FACTOR, self.unanswered, MAX_RETRY_WAIT)
         return now >= self.requested_at + wait
 
     def retry_wait(self) -> float:
@@ -78,7 +78,7 @@
             return HEARTBEAT_INTERVAL
         # A candidate answers nothing yet; asked less and less, it would miss its majority on lossy links.
         steps = self.unanswered - 1 if self.election.followed.is_elected else 0
-        return exponential_backoff(HEARTBEAT_INTERVAL / 2, BACKOFF, steps, MAX_RETRY_WAIT)
+        return exponential_backoff(HEARTBEAT_INTERVAL / 2, BACKOFF_FACTOR, steps, MAX_RETRY_WAIT)
 
     def schedule_retry(self, now: float, wait: float) -> None:
         """Makes the next request due after about so many seconds."""
@@ -102,7 +102,7 @@
             age=self.age_ms(now),
             term=election.newest_term,
             allocations=[
-                Allocation(tag, account.release_unused(now), account.wants(now))
+                Allocation(tag, account.release_unused(now), account.wanted_units(now))
                 for tag, account in self.accounts.items()
             ],
         )
@@ -123,9 +123,9 @@
 
     def age_ms(self, now: float) -> int:
         """Returns the age of this process in ms."""
-        return round(self.identity.age(now) * MS)
+        return round(self.identity.age(now) * MS_PER_SECOND)
 
-    def receive_grant(self, now: float, who: int, grant: LeaseGrant) -> None:
+    def receive_grant(self, now: float, sender: int, grant: LeaseGrant) -> None:
         """Takes the answer to the newest request.
 
         The leader counts on that one; an older answer is void.
@@ -133,7 +133,7 @@
         if grant.recipient != self.identity.incarnation:
             return
         is_answer = grant.request == self.sequence and self.unanswered
-        if not is_answer or not self.election.followed.is_incarnation(who, grant.incarnation):
+        if not is_answer or not self.election.followed.is_incarnation(sender, grant.incarnation):
             return
         self.granted_at = now
         self.unanswered = 0
@@ -142,9 +142,9 @@
             if lease.budget in self.accounts:
                 self.accounts[lease.budget].receive_lease(self.requested_at, lease.amount)
 
-    def begin_anew(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Starts over under a new incarnation, whose requests are numbered anew."""
         self.sequence = 0
         self.unanswered = 0
         for account in self.accounts.values():
-            account.begin_anew(now)
+            account.reset(now)
--- a/brambleplank/fleet/leases/counts.py
+++ b/brambleplank/fleet/leases/counts.py
@@ -15,8 +15,8 @@
 from brambleplank.fleet.messages import MAX_COUNTS, MAX_DATAGRAM, MAX_NAME, Count
 
 MAX_KEYS = 256  # of one process, and of the fleet
-OTHER = "other"  # the key of what comes beyond
-ROOM = MAX_DATAGRAM - 24  # bytes of a datagram for counts
+OVERFLOW_KEY = "other"  # the key of what comes beyond
+COUNT_SPACE = MAX_DATAGRAM - 24  # bytes of a datagram for counts
 COUNT_OVERHEAD = 4  # bytes of a count beside its key and totals
 
 
@@ -56,7 +56,7 @@
     return "/".join(part[:MAX_NAME] for part in (service_type, customer, version))
 
 
-def merged(one: dict[str, Totals], other: dict[str, Totals]) -> dict[str, Totals]:
+def merge_totals(one: dict[str, Totals], other: dict[str, Totals]) -> dict[str, Totals]:
     """Returns the larger of each number; neither argument is changed."""
     keys = {**one, **other}
     return {key: list(map(max, one.get(key, zero_totals()), other.get(key, zero_totals()))) for key in keys}
@@ -79,74 +79,74 @@
         self.unreported: dict[str, None] = {}  # own keys that have changed since, longest ago first
         # Where this process leads.
         self.members: dict[int, MemberCounts] = {}
-        self.gathered: dict[str, Totals] = {}  # all that members reported, of every start
+        self.reported_totals: dict[str, Totals] = {}  # all that members reported, of every start
         self.unsent_aggregates: dict[str, None] = {}  # keys that have changed since, longest ago first
 
     def increment(self, kind: int, service_type: str, customer: str, version: str) -> None:
         """Counts one request of this process under a CountKind."""
         key = count_key(service_type, customer, version)
         if key not in self.own and len(self.own) >= MAX_KEYS:
-            key = OTHER
+            key = OVERFLOW_KEY
         self.own.setdefault(key, zero_totals())[kind] += 1
         self.unreported[key] = None
 
     def next_report(self) -> list[Count]:
         """Returns changed counts of this process, as many as one datagram holds."""
-        return take_fitting(self.unreported, self.own)
+        return pop_fitting(self.unreported, self.own)
 
     def next_aggregates(self) -> list[Count]:
         """Returns changed aggregates to be sent by the leader, as many as one datagram holds."""
-        return take_fitting(self.unsent_aggregates, self.fleet)
+        return pop_fitting(self.unsent_aggregates, self.fleet)
 
-    def receive_report(self, who: int, incarnation: int, counts: Iterable[Count]) -> None:
+    def receive_report(self, sender: int, incarnation: int, counts: Iterable[Count]) -> None:
         """Adds what a member has counted. The caller leaves out reports of earlier starts."""
-        member = self.members.get(who)
+        member = self.members.get(sender)
         if member is None or member.incarnation != incarnation:
             member = MemberCounts(incarnation)
-            self.members[who] = member
+            self.members[sender] = member
         totals = member.totals
         for count in counts:
-            key = count.key if count.key in totals or len(totals) < MAX_KEYS else OTHER
+            key = count.key if count.key in totals or len(totals) < MAX_KEYS else OVERFLOW_KEY
             old = totals.get(key, zero_totals())
             new = list(map(max, old, count.totals))
             totals[key] = new
             if new != old:
-                self.gather(key, [after - before for after, before in zip(new, old, strict=True)])
+                self.add_to_aggregate(key, [after - before for after, before in zip(new, old, strict=True)])
 
-    def gather(self, key: str, increase: Totals) -> None:
+    def add_to_aggregate(self, key: str, increase: Totals) -> None:
         """Adds an increase to the aggregate of a key."""
         key = self.bounded_key(key)
-        before = self.gathered.get(key, zero_totals())
-        self.gathered[key] = [total + more for total, more in zip(before, increase, strict=True)]
-        self.receive_aggregates({key: self.gathered[key]})
+        before = self.reported_totals.get(key, zero_totals())
+        self.reported_totals[key] = [total + more for total, more in zip(before, increase, strict=True)]
+        self.receive_aggregates({key: self.reported_totals[key]})
         self.unsent_aggregates[key] = None
 
     def bounded_key(self, key: str) -> str:
         """Returns the key to count under. Members with many names would fill the leader's memory."""
-        return key if key in self.fleet or len(self.fleet) < MAX_KEYS else OTHER
+        return key if key in self.fleet or len(self.fleet) < MAX_KEYS else OVERFLOW_KEY
 
     def receive_aggregates(self, aggregates: dict[str, Totals]) -> None:
         """Takes counts over the fleet; none falls."""
         for name, totals in aggregates.items():
             key = self.bounded_key(name)
             known = {key: self.fleet[key]} if key in self.fleet else {}
-            self.fleet.update(merged(known, {key: totals}))
+            self.fleet.update(merge_totals(known, {key: totals}))
 
-    def begin_anew(self) -> None:
+    def reset(self) -> None:
         """Starts over under a new incarnation. Reported under both, a request would count twice."""
         self.own.clear()
         self.unreported.clear()
 
 
-def take_fitting(keys: dict[str, None], totals: dict[str, Totals]) -> list[Count]:
+def pop_fitting(keys: dict[str, None], totals: dict[str, Totals]) -> list[Count]:
     """Takes as many keys as fit in a datagram, and returns their counts."""
     counts: list[Count] = []
-    room = ROOM
+    space = COUNT_SPACE
     for key in list(keys):
         size = encoded_size(key, totals[key])
-        if size > room or len(counts) == MAX_COUNTS:
+        if size > space or len(counts) == MAX_COUNTS:
             break
-        room -= size
+        space -= size
         del keys[key]
         counts.append(Count(key, totals[key]))
     return counts
--- a/brambleplank/fleet/leases/leader_election.py
+++ b/brambleplank/fleet/leases/leader_election.py
@@ -26,7 +26,7 @@
 from brambleplank.fleet.messages import Heartbeat
 
 MAX_TERM_STEP = 1_000_000  # terms that one message may be ahead
-RELEASES = 3  # heartbeats by which one that stepped down tells its followers
+RELEASE_HEARTBEATS = 3  # heartbeats by which one that stepped down tells its followers
 MIN_CANDIDACY = 2.5 * HEARTBEAT_INTERVAL  # seconds that a candidacy without success lasts
 
 
@@ -48,9 +48,9 @@
     heartbeat: int = 0  # sequence of the newest heartbeat received from it
     is_elected: bool = False  # whether it leads, as it says
 
-    def is_incarnation(self, who: int, incarnation: int) -> bool:
+    def is_incarnation(self, sender: int, incarnation: int) -> bool:
         """Returns whether it is that start of that member."""
-        return (who, incarnation) == (self.number, self.incarnation)
+        return (sender, incarnation) == (self.number, self.incarnation)
 
 
 class HeartbeatSchedule:
@@ -94,7 +94,7 @@
         self.newest_heartbeats: dict[int, tuple[int, int]] = {}  # incarnation and sequence, by member
         self.newest_term = 0  # that any member reported
         # Members whose pre-vote request put off this process's own, since it last followed one.
-        self.yielded_to: set[int] = set()
+        self.deferred_to: set[int] = set()
         self.election_at = self.election_timeout(now)
 
     @property
@@ -118,32 +118,32 @@
 
     # Messages received.
 
-    def receive_heartbeat(self, now: float, who: int, heartbeat: Heartbeat) -> bool:
+    def receive_heartbeat(self, now: float, sender: int, heartbeat: Heartbeat) -> bool:
         """Takes a member's heartbeat. Returns whether it is to be answered by a pre-vote."""
-        self.note_term(heartbeat.term)
+        self.record_term(heartbeat.term)
         received = heartbeat.incarnation, heartbeat.sequence
-        if who == self.number or self.newest_heartbeats.get(who, (0, 0)) >= received:
+        if sender == self.number or self.newest_heartbeats.get(sender, (0, 0)) >= received:
             return False  # A late or repeated one would look like life.
-        self.newest_heartbeats[who] = received
-        if heartbeat.asks_pre_votes:
-            return self.receive_pre_vote_request(now, who, heartbeat)
+        self.newest_heartbeats[sender] = received
+        if heartbeat.requests_pre_votes:
+            return self.receive_pre_vote_request(now, sender, heartbeat)
         is_rival = self.candidacy.is_active and not self.is_leader(now)
-        if is_rival and (heartbeat.is_leader or who < self.number):
+        if is_rival and (heartbeat.is_leader or sender < self.number):
             self.step_down(now)
-        if not self.followed.is_incarnation(who, heartbeat.incarnation) and now < self.promised_until:
+        if not self.followed.is_incarnation(sender, heartbeat.incarnation) and now < self.promised_until:
             return False  # Followed while a promise to another holds, two could lead at once.
-        self.follow(now, who, heartbeat)
+        self.follow(now, sender, heartbeat)
         return False
 
-    def receive_pre_vote_request(self, now: float, who: int, heartbeat: Heartbeat) -> bool:
+    def receive_pre_vote_request(self, now: float, sender: int, heartbeat: Heartbeat) -> bool:
         """A member that is no candidate asks who would follow it. Returns whether to answer by a pre-vote."""
-        if self.followed.is_incarnation(who, heartbeat.incarnation):
+        if self.followed.is_incarnation(sender, heartbeat.incarnation):
             self.release(now)
         if self.candidacy.is_active or now < self.promised_until:
             return False
-        if who not in self.yielded_to:
+        if sender not in self.deferred_to:
             # Only once for each: one that hears no answer asks for ever.
-            self.yielded_to.add(who)
+            self.deferred_to.add(sender)
             self.election_at = max(self.election_at, now + HEARTBEAT_INTERVAL)
         return True
 
@@ -153,31 +153,31 @@
         self.promised_until = now
         self.election_at = self.election_timeout(now)
 
-    def follow(self, now: float, who: int, heartbeat: Heartbeat) -> None:
+    def follow(self, now: float, sender: int, heartbeat: Heartbeat) -> None:
         """Follows the sender of a heartbeat, for a lease from now on."""
         self.candidacy.withdraw()
         self.pre_votes.clear()
-        self.yielded_to.clear()
-        self.followed = FollowedLeader(who, heartbeat.incarnation, heartbeat.sequence, heartbeat.is_leader)
+        self.deferred_to.clear()
+        self.followed = FollowedLeader(sender, heartbeat.incarnation, heartbeat.sequence, heartbeat.is_leader)
         # The promise names this heartbeat, however late it is sent.
         self.promised_until = now + LEASE_DURATION * GRANTER_CLOCK_FACTOR
         self.election_at = self.election_timeout(now)
 
-    def note_term(self, term: int) -> None:
+    def record_term(self, term: int) -> None:
         """Notes a term. The step is bounded, or a faulty member could use up all that a message can hold."""
         if self.newest_term < term <= self.newest_term + MAX_TERM_STEP:
             self.newest_term = term
 
-    def receive_pre_vote(self, who: int, sequence: int) -> None:
+    def receive_pre_vote(self, sender: int, sequence: int) -> None:
         """A member would follow this process, in answer to one of its heartbeats."""
         if not self.candidacy.is_active:
-            self.pre_votes.receive(who, sequence)
+            self.pre_votes.receive(sender, sequence)
 
-    def receive_support(self, now: float, who: int, sequence: int, term: int = 0) -> None:
+    def receive_support(self, now: float, sender: int, sequence: int, term: int = 0) -> None:
         """A member follows this process, and names the heartbeat that it promised for."""
-        if self.candidacy.add_support(now, who, sequence):
-            self.note_term(term)
-            self.candidacy.lead_if_supported(now, self.newest_term + 1)
+        if self.candidacy.add_support(now, sender, sequence):
+            self.record_term(term)
+            self.candidacy.become_leader_if_supported(now, self.newest_term + 1)
 
     # Heartbeats to be sent.
 
@@ -188,12 +188,12 @@
         """
         if self.candidacy.has_failed(now):
             self.step_down(now)
-        asks = not self.candidacy.is_active and now >= max(self.election_at, self.promised_until)
-        if asks and self.pre_votes.is_majority(now):
+        wants_pre_votes = not self.candidacy.is_active and now >= max(self.election_at, self.promised_until)
+        if wants_pre_votes and self.pre_votes.is_majority(now):
             self.become_candidate(now)
         if now < self.schedule.due_at:
             return None
-        if not (asks or self.candidacy.is_active or self.schedule.releases):
+        if not (wants_pre_votes or self.candidacy.is_active or self.schedule.releases):
             return None
         return self.next_heartbeat(now)
 
@@ -224,9 +224,9 @@
         self.followed = replace(self.followed, number=None)
         self.promised_until = now  # it was to itself
         self.election_at = now + self.rng.uniform(HEARTBEAT_INTERVAL / 4, LEASE_DURATION / 2)
-        self.schedule.expedite(now, RELEASES)
+        self.schedule.expedite(now, RELEASE_HEARTBEATS)
 
-    def begin_anew(self, now: float, incarnation: int) -> None:
+    def reset(self, now: float, incarnation: int) -> None:
         """Starts over. Under its old incarnation this process may have promised to follow another."""
         self.candidacy.withdraw()
         self.pre_votes.clear()
--- a/brambleplank/fleet/leases/ledger.py
+++ b/brambleplank/fleet/leases/ledger.py
@@ -34,13 +34,13 @@
     """What one borrower may have in use of one budget, and until when."""
 
     amount: int = 0
-    until: float = inf
+    expires_at: float = inf
     wanted: int = 0
     received_at: float = -inf
 
     def outstanding(self, now: float) -> int:
         """Returns the units that may be in use."""
-        return self.amount if now < self.until else 0
+        return self.amount if now < self.expires_at else 0
 
 
 class Ledger:
@@ -81,16 +81,16 @@
         held = min(renewal.held, budget.leasable)
         claim = self.claims.setdefault(borrower, Claim())
         claim.amount = held
-        claim.until = self.lease_end(now)
+        claim.expires_at = self.lease_end(now)
         claim.wanted = renewal.wanted
         claim.received_at = now
         self.expire_earlier(now, age, earlier)
-        self.note_reported(now, borrower, age)
-        amount = min(self.most_for(now, held), min(renewal.wanted, self.fair_share(now)) + self.spare)
+        self.record_complete_report(now, borrower, age)
+        amount = min(self.max_grant(now, held), min(renewal.wanted, self.fair_share(now)) + self.spare)
         claim.amount = max(held, amount)
         if amount > held and self.outstanding(now) > budget.leasable:
-            wrong = f"{self.outstanding(now)} units would be out of {budget.leasable}"
-            raise InvariantError(wrong, f"fleet budget {budget.name}")
+            problem = f"{self.outstanding(now)} units would be out of {budget.leasable}"
+            raise InvariantError(problem, f"fleet budget {budget.name}")
         return amount
 
     def expire_earlier(self, now: float, age: float, earlier: Sequence[Borrower]) -> None:
@@ -99,18 +99,18 @@
             return
         for borrower in earlier:
             if borrower in self.claims:
-                expires_at = now + max(0.0, self.budget.memory - age)
-                self.claims[borrower].until = min(self.claims[borrower].until, expires_at)
+                closed_at = now + max(0.0, self.budget.usage_expiry - age)
+                self.claims[borrower].expires_at = min(self.claims[borrower].expires_at, closed_at)
 
-    def note_reported(self, now: float, borrower: Borrower, age: float) -> None:
+    def record_complete_report(self, now: float, borrower: Borrower, age: float) -> None:
         """Notes who has stated all it has. Once all members have, nothing unknown is outstanding."""
-        if age < self.budget.memory:
+        if age < self.budget.usage_expiry:
             return
         self.reported.add(borrower.number)
         if len(self.reported) == self.budget.members:
             self.unknown_until = min(self.unknown_until, now)
 
-    def most_for(self, now: float, held: int) -> int:
+    def max_grant(self, now: float, held: int) -> int:
         """Returns the most that a borrower can have which holds so many units."""
         if now < self.unknown_until:
             # Granted before all that is outstanding is known, more could exceed the budget.
@@ -122,26 +122,26 @@
         if now >= self.max_share_at + SHARE_LIFETIME:
             self.max_share_at = now
             self.forget_expired(now)
-            self.divide(now)
+            self.compute_shares(now)
         return int(min(self.max_share, self.budget.leasable))
 
-    def divide(self, now: float) -> None:
+    def compute_shares(self, now: float) -> None:
         """Computes the largest share and the spare units from what borrowers wanted lately."""
         wanted = sorted(
             claim.wanted for claim in self.claims.values() if now < claim.received_at + LEASE_DURATION
         )
-        left = self.budget.leasable
+        units_left = self.budget.leasable
         self.max_share = inf
         # Without spare units, the first request after an idle time would find nothing leased.
-        self.spare = int(max(0, left - sum(wanted)) * SPARE_SHARE) // self.budget.members
-        if sum(wanted) <= left:
+        self.spare = int(max(0, units_left - sum(wanted)) * SPARE_SHARE) // self.budget.members
+        if sum(wanted) <= units_left:
             return
         for n, units in enumerate(wanted):
-            remaining = len(wanted) - n
-            if units * remaining > left:
-                self.max_share = left // remaining
+            borrowers_left = len(wanted) - n
+            if units * borrowers_left > units_left:
+                self.max_share = units_left // borrowers_left
                 return
-            left -= units
+            units_left -= units
 
     def forget_expired(self, now: float) -> None:
         """Drops the claims of borrowers that are silent and hold nothing."""
--- a/brambleplank/fleet/leases/lender.py
+++ b/brambleplank/fleet/leases/lender.py
@@ -8,7 +8,7 @@
 from brambleplank.fleet.leases.ledger import Borrower, Ledger, Renewal
 from brambleplank.fleet.messages import Lease, LeaseRequest
 
-MS = 1000  # in a second
+MS_PER_SECOND = 1000  # in a second
 
 
 class Lender:
@@ -35,6 +35,6 @@
             ledger = self.ledgers.get(allocation.budget)
             if ledger is not None:
                 renewal = Renewal(allocation.held, allocation.wanted)
-                amount = ledger.renew(now, borrower, request.age / MS, renewal, earlier)
+                amount = ledger.renew(now, borrower, request.age / MS_PER_SECOND, renewal, earlier)
                 leases.append(Lease(allocation.budget, amount))
         return leases
--- a/brambleplank/fleet/member.py
+++ b/brambleplank/fleet/member.py
@@ -25,7 +25,7 @@
 from brambleplank.fleet.versions.agreements import Agreements
 from brambleplank.fleet.versions.identity import AgreementIdentity
 
-MS = 1000  # in a second
+MS_PER_SECOND = 1000  # in a second
 
 
 class FleetMember:
@@ -39,14 +39,14 @@
         incarnation: int,
         now: float,
         seed: int,
-        say: Callable[[bytes, int | None], None],
+        send_datagram: Callable[[bytes, int | None], None],
         log: Callable[[str], None],
         servers: Callable[[], list[int]] = list,
         check: bool = False,
     ) -> None:
         """`say` sends a datagram to one member by its number, or to all others."""
         self.identity = MemberIdentity(number, members, incarnation, now)
-        self.say = say
+        self.send_datagram = send_datagram
         self.log = log
         self.servers = servers
         self.check = check  # whether invariants are checked at each step
@@ -93,12 +93,12 @@
 
     def try_acquire(self, now: float, name: str) -> bool:
         """Takes one unit of a budget, if this process may use one more. Raises UnknownBudgetError."""
-        taken = self.account(name).try_acquire(now)
-        if not taken:
+        acquired = self.account(name).try_acquire(now)
+        if not acquired:
             self.lease_client.record_refusal()
         if self.check:
             self.check_invariants(now)
-        return taken
+        return acquired
 
     def record_refusal(self, now: float, account: Account) -> None:
         """A unit was wanted, and there was none; a lease is requested soon."""
@@ -118,11 +118,11 @@
     def tick(self, now: float) -> None:
         """Takes a turn, about every tenth of a second."""
         try:
-            self.take_turn(now)
-        except InvariantError as broken:
-            self.recover(now, broken)
+            self.run_due_tasks(now)
+        except InvariantError as violation:
+            self.recover(now, violation)
 
-    def take_turn(self, now: float) -> None:
+    def run_due_tasks(self, now: float) -> None:
         """Sends what is due."""
         self.send_due_heartbeat(now)
         self.update_leadership(now)
@@ -149,7 +149,7 @@
             sequence=due.sequence,
             is_leader=self.election.is_leader(now),
             reachable=coverage.reachable if due.is_candidate else 0,
-            oldest=round(coverage.oldest * MS),
+            oldest=round(coverage.oldest * MS_PER_SECOND),
         )
         self.send(heartbeat)
 
@@ -178,10 +178,10 @@
 
     def report(self, now: float) -> None:
         """Reports to the leader, or as the leader to all."""
-        leads = self.election.is_leader(now)
+        leading = self.election.is_leader(now)
         leader = self.election.leader
         self.agreements.report(now, leader)
-        self.reports.report(now, leader, leads)
+        self.reports.report(now, leader, leading)
 
     def log_reachability(self, now: float) -> None:
         """Logs when a partition begins and ends; as the leader, which members are unreachable."""
@@ -204,13 +204,13 @@
         """Checks what must hold. A state that cannot be is logged and not spent from."""
         ledgers = [*self.lender.ledgers.values()] if self.election.is_leader(now) else []
         servers = self.servers()
-        passed_over = self.server_observer.ejected_servers(now, servers)
+        ejected = self.server_observer.ejected_servers(now, servers)
         try:
             invariants.check(now, [*self.accounts.values()], ledgers, self.coverage(now))
-            invariants.check_ceiling(passed_over, servers)
+            invariants.check_ejection_limit(ejected, servers)
             self.monotonic.check()
-        except InvariantError as broken:
-            self.recover(now, broken)
+        except InvariantError as violation:
+            self.recover(now, violation)
 
     def monotonic_values(self) -> dict[str, int]:
         """Returns what never falls while this process runs."""
@@ -218,9 +218,9 @@
         values["counts"] = sum(map(sum, self.counts.fleet.values()))
         return values
 
-    def recover(self, now: float, broken: InvariantError) -> None:
+    def recover(self, now: float, violation: InvariantError) -> None:
         """Logs a broken invariant, and goes on with the reserve alone."""
-        self.log(f"fleet: {broken.with_advice()}")
+        self.log(f"fleet: {violation.with_advice()}")
         self.monotonic.accept()  # once logged is enough
         for account in self.accounts.values():
             account.drop_lease()
@@ -230,144 +230,144 @@
 
     def send(self, message: messages.Message, to: int | None = None) -> None:
         """Sends a message to one member, or to all others."""
-        self.say(messages.encode(message), to)
+        self.send_datagram(messages.encode(message), to)
 
-    def receive_datagram(self, now: float, who: int, data: bytes) -> None:
+    def receive_datagram(self, now: float, sender: int, data: bytes) -> None:
         """Takes a datagram. Raises DatagramError for what is no message, or comes from no member."""
         try:
-            self.receive(now, who, messages.decode(data))
-        except InvariantError as broken:
-            self.recover(now, broken)
+            self.receive(now, sender, messages.decode(data))
+        except InvariantError as violation:
+            self.recover(now, violation)
 
-    def receive(self, now: float, who: int, message: messages.Any) -> None:
+    def receive(self, now: float, sender: int, message: messages.AnyMessage) -> None:
         """Takes a message of another member, unless an older start of it has sent it."""
-        if not self.membership.is_other(who):
-            raise DatagramError(f"from no other member: {who}", "fleet")
-        member = self.membership.state(who)
+        if not self.membership.is_other(sender):
+            raise DatagramError(f"from no other member: {sender}", "fleet")
+        member = self.membership.state(sender)
         if message.incarnation < member.incarnation:
             # Late, by a start that is over; or its clock was set back.
-            self.send(messages.StaleIncarnation(self.identity.incarnation, member.incarnation), who)
+            self.send(messages.StaleIncarnation(self.identity.incarnation, member.incarnation), sender)
             return
         if message.incarnation > member.incarnation:
-            member.begin(message.incarnation)
-        self.dispatch(now, who, message)
+            member.begin_incarnation(message.incarnation)
+        self.dispatch(now, sender, message)
 
-    def dispatch(self, now: float, who: int, message: messages.Any) -> None:
+    def dispatch(self, now: float, sender: int, message: messages.AnyMessage) -> None:
         """Hands a message to what it concerns."""
         match message:
             case messages.LeaseRequest():
-                self.note_reachable(now, who)
-                self.receive_lease_request(now, who, message)
+                self.note_reachable(now, sender)
+                self.receive_lease_request(now, sender, message)
             case messages.Heartbeat():
-                self.receive_heartbeat(now, who, message)
+                self.receive_heartbeat(now, sender, message)
             case messages.LeaseGrant():
-                self.lease_client.receive_grant(now, who, message)
+                self.lease_client.receive_grant(now, sender, message)
             case messages.StaleIncarnation():
-                self.receive_stale_incarnation(now, who, message)
+                self.receive_stale_incarnation(now, sender, message)
             case messages.CountReport() | messages.ServerObservations():
-                self.receive_report(now, who, message)
+                self.receive_report(now, sender, message)
             case messages.Aggregates() | messages.Ejections():
-                self.receive_published(now, who, message)
+                self.receive_published(now, sender, message)
             case _:
-                self.agreements.receive(now, who, message)
+                self.agreements.receive(now, sender, message)
 
-    def note_reachable(self, now: float, who: int) -> None:
+    def note_reachable(self, now: float, sender: int) -> None:
         """Notes that a member was heard."""
-        self.membership.state(who).reached_at = now
-        self.agreements.note_reachable(now, who)
+        self.membership.state(sender).last_request_at = now
+        self.agreements.note_reachable(now, sender)
 
-    def follows(self, who: int, incarnation: int) -> bool:
+    def follows(self, sender: int, incarnation: int) -> bool:
         """Returns whether this process follows that start of a member."""
-        return self.election.followed.is_incarnation(who, incarnation)
+        return self.election.followed.is_incarnation(sender, incarnation)
 
-    def follows_leader(self, who: int, incarnation: int) -> bool:
+    def follows_leader(self, sender: int, incarnation: int) -> bool:
         """Returns whether this process follows that start of a member, and it leads."""
-        return self.follows(who, incarnation) and self.election.followed.is_elected
+        return self.follows(sender, incarnation) and self.election.followed.is_elected
 
-    def receive_heartbeat(self, now: float, who: int, heartbeat: messages.Heartbeat) -> None:
+    def receive_heartbeat(self, now: float, sender: int, heartbeat: messages.Heartbeat) -> None:
         """Takes a heartbeat; it may change whom this process follows."""
         leader_before = self.election.leader
-        if self.election.receive_heartbeat(now, who, heartbeat):
-            self.send(self.lease_client.pre_vote(now, heartbeat), who)
+        if self.election.receive_heartbeat(now, sender, heartbeat):
+            self.send(self.lease_client.pre_vote(now, heartbeat), sender)
         if self.election.leader not in (leader_before, None):
             self.lease_client.expedite(now)  # a candidate waits for its supporters
-        if heartbeat.is_leader and self.follows(who, heartbeat.incarnation):
-            self.membership.receive_coverage(now, heartbeat.reachable, heartbeat.oldest / MS)
+        if heartbeat.is_leader and self.follows(sender, heartbeat.incarnation):
+            self.membership.receive_coverage(now, heartbeat.reachable, heartbeat.oldest / MS_PER_SECOND)
 
-    def receive_lease_request(self, now: float, who: int, request: messages.LeaseRequest) -> None:
+    def receive_lease_request(self, now: float, sender: int, request: messages.LeaseRequest) -> None:
         """Takes a member's support and pre-vote; as the leader, answers by a grant."""
-        own = who == self.identity.number
+        own = sender == self.identity.number
         if request.recipient != self.identity.incarnation:
             return
         earlier: list[Borrower] = []
         if not own:
-            member = self.membership.state(who)
-            if request.sequence <= member.newest_request:
+            member = self.membership.state(sender)
+            if request.sequence <= member.last_request_sequence:
                 return  # A late or repeated one says what its process had, not what it has.
-            member.newest_request = request.sequence
-            earlier = [Borrower(who, incarnation) for incarnation in member.earlier]
+            member.last_request_sequence = request.sequence
+            earlier = [Borrower(sender, incarnation) for incarnation in member.earlier_incarnations]
         if request.supports:
-            self.election.receive_support(now, who, request.heartbeat, request.term)
+            self.election.receive_support(now, sender, request.heartbeat, request.term)
         if not own:
-            self.election.receive_pre_vote(who, request.heartbeat)
+            self.election.receive_pre_vote(sender, request.heartbeat)
         if not self.election.is_leader(now):
             return
         self.update_leadership(now)
-        if not self.election.candidacy.is_from_this_term(request.heartbeat):
+        if not self.election.candidacy.sent_in_current_term(request.heartbeat):
             return  # Sent before this term, it may claim a lease that was granted to another since.
-        self.grant_leases(now, who, request, earlier)
+        self.grant_leases(now, sender, request, earlier)
 
     def grant_leases(
-        self, now: float, who: int, request: messages.LeaseRequest, earlier: list[Borrower]
+        self, now: float, sender: int, request: messages.LeaseRequest, earlier: list[Borrower]
     ) -> None:
         """Answers a lease request as the leader."""
-        borrower = Borrower(who, request.incarnation)
+        borrower = Borrower(sender, request.incarnation)
         try:
             leases = self.lender.grant(now, borrower, request, earlier)
-        except InvariantError as broken:
-            self.recover(now, broken)
+        except InvariantError as violation:
+            self.recover(now, violation)
             return
         grant = messages.LeaseGrant(self.identity.incarnation, request.incarnation, request.sequence, leases)
-        if who == self.identity.number:
-            self.lease_client.receive_grant(now, who, grant)
+        if sender == self.identity.number:
+            self.lease_client.receive_grant(now, sender, grant)
         else:
-            self.send(grant, who)
+            self.send(grant, sender)
 
-    def receive_stale_incarnation(self, now: float, who: int, message: messages.StaleIncarnation) -> None:
+    def receive_stale_incarnation(self, now: float, sender: int, message: messages.StaleIncarnation) -> None:
         """Begins anew if the leader knows a newer start of this process.
 
         An answer to a late message of an earlier start, or a forged one, must not restart this member.
         """
-        if message.known > self.identity.incarnation and self.follows(who, message.incarnation):
-            self.begin_anew(now, message.known)
+        if message.known > self.identity.incarnation and self.follows(sender, message.incarnation):
+            self.start_new_incarnation(now, message.known)
 
     def receive_report(
-        self, now: float, who: int, message: messages.CountReport | messages.ServerObservations
+        self, now: float, sender: int, message: messages.CountReport | messages.ServerObservations
     ) -> None:
         """Takes what a member counted, or found of servers."""
         if isinstance(message, messages.CountReport):
-            self.counts.receive_report(who, message.incarnation, message.counts)
+            self.counts.receive_report(sender, message.incarnation, message.counts)
         else:
             observations = Observations(message.healthy, message.failing)
             self.server_observer.receive_observations(
-                now, who, observations, message.tried_total, message.failing_total
+                now, sender, observations, message.tried_total, message.failing_total
             )
 
     def receive_published(
-        self, now: float, who: int, message: messages.Aggregates | messages.Ejections
+        self, now: float, sender: int, message: messages.Aggregates | messages.Ejections
     ) -> None:
         """Takes what the leader makes of the reports."""
-        if not self.follows_leader(who, message.incarnation):
+        if not self.follows_leader(sender, message.incarnation):
             return
         if isinstance(message, messages.Aggregates):
             self.counts.receive_aggregates({count.key: count.totals for count in message.counts})
         else:
             self.server_observer.receive_ejections(now, message.servers)
 
-    def begin_anew(self, now: float, known: int) -> None:
+    def start_new_incarnation(self, now: float, known: int) -> None:
         """A start of this process with a higher number is known: nothing that this one sent was taken."""
-        self.identity.begin_anew(now, known + 1)
-        self.lease_client.begin_anew(now)
-        self.election.begin_anew(now, self.identity.incarnation)
-        self.counts.begin_anew()
+        self.identity.reset(now, known + 1)
+        self.lease_client.reset(now)
+        self.election.reset(now, self.identity.incarnation)
+        self.counts.reset()
         self.log("fleet: taken for an older incarnation; starts a new one")
--- a/brambleplank/fleet/membership.py
+++ b/brambleplank/fleet/membership.py
@@ -8,7 +8,7 @@
 from brambleplank.fleet.leases.counts import Coverage
 from brambleplank.fleet.leases.timing import LEASE_DURATION
 
-EARLIER_STARTS_KEPT = 4  # of a member
+MAX_EARLIER_INCARNATIONS = 4  # of a member
 NEVER = float("-inf")
 
 
@@ -19,16 +19,16 @@
     number: int
     members: int
     incarnation: int  # names this start
-    began: float  # on this process's clock
+    started_at: float  # on this process's clock
 
-    def begin_anew(self, now: float, incarnation: int) -> None:
+    def reset(self, now: float, incarnation: int) -> None:
         """Goes on under another incarnation, as if it had just started."""
         self.incarnation = incarnation
-        self.began = now
+        self.started_at = now
 
     def age(self, now: float) -> float:
         """Returns the seconds since the start."""
-        return max(0.0, now - self.began)
+        return max(0.0, now - self.started_at)
 
 
 @dataclass
@@ -36,22 +36,24 @@
     """What is known of another process."""
 
     incarnation: int = 0  # of its newest start
-    newest_request: int = 0  # sequence of its newest lease request
-    reached_at: float = NEVER  # when its newest lease request was received
-    earlier: tuple[int, ...] = ()  # incarnations of earlier starts
+    last_request_sequence: int = 0  # sequence of its newest lease request
+    last_request_at: float = NEVER  # when its newest lease request was received
+    earlier_incarnations: tuple[int, ...] = ()  # incarnations of earlier starts
 
-    def begin(self, incarnation: int) -> None:
+    def begin_incarnation(self, incarnation: int) -> None:
         """Takes note of a newer start."""
         if self.incarnation:
-            self.earlier = (*self.earlier, self.incarnation)[-EARLIER_STARTS_KEPT:]
+            self.earlier_incarnations = (*self.earlier_incarnations, self.incarnation)[
+                -MAX_EARLIER_INCARNATIONS:
+            ]
         else:
-            self.earlier = ()
+            self.earlier_incarnations = ()
         self.incarnation = incarnation
-        self.newest_request = 0
+        self.last_request_sequence = 0
 
     def is_reachable(self, now: float) -> bool:
         """Returns whether it was heard within the length of a lease."""
-        return now < self.reached_at + LEASE_DURATION
+        return now < self.last_request_at + LEASE_DURATION
 
 
 class Membership:
@@ -67,24 +69,24 @@
         self.partitioned = False
         self.partition_known_from = now + LEASE_DURATION  # a partition is not reported before
 
-    def is_other(self, who: int) -> bool:
+    def is_other(self, member: int) -> bool:
         """Returns whether a number is that of another member."""
-        return 0 <= who < self.identity.members and who != self.identity.number
+        return 0 <= member < self.identity.members and member != self.identity.number
 
-    def state(self, who: int) -> MemberState:
+    def state(self, member: int) -> MemberState:
         """Returns what is known of another member."""
-        return self.others.setdefault(who, MemberState())
+        return self.others.setdefault(member, MemberState())
 
     def receive_coverage(self, now: float, reachable: int, oldest: float) -> None:
         """Takes the leader's report of how many members it reaches, the least recent so many seconds ago."""
         self.leader_coverage = Coverage(reachable, self.identity.members, oldest)
         self.leader_coverage_at = now
 
-    def coverage(self, now: float, leads: bool) -> Coverage:
+    def coverage(self, now: float, leading: bool) -> Coverage:
         """Returns the coverage by this process itself if it leads, or as the leader reported it lately."""
         members = self.identity.members
-        if leads:
-            ages = [now - state.reached_at for state in self.others.values() if state.is_reachable(now)]
+        if leading:
+            ages = [now - state.last_request_at for state in self.others.values() if state.is_reachable(now)]
             return Coverage(1 + len(ages), members, max(ages, default=0.0))
         if now >= self.leader_coverage_at + LEASE_DURATION or self.partitioned:
             return Coverage(1, members, 0.0)
@@ -93,9 +95,11 @@
 
     def log_unreachable(self, now: float) -> None:
         """Logs which members have become unreachable, or reachable again."""
-        unreachable = {who for who, state in self.others.items() if not state.is_reachable(now)}
-        for who in sorted(unreachable ^ self.unreachable):
-            self.log(f"fleet: member {who} is {'unreachable' if who in unreachable else 'reachable again'}")
+        unreachable = {member for member, state in self.others.items() if not state.is_reachable(now)}
+        for member in sorted(unreachable ^ self.unreachable):
+            self.log(
+                f"fleet: member {member} is {'unreachable' if member in unreachable else 'reachable again'}"
+            )
         self.unreachable = unreachable
 
     def update_partition(self, now: float, granted_at: float) -> bool:
--- a/brambleplank/fleet/messages.py
+++ b/brambleplank/fleet/messages.py
@@ -22,7 +22,7 @@
 MAX_REASON = 150  # characters of an objection
 MAX_COUNTS = 24  # in one message; more take several
 MAX_ALLOCATIONS = 10  # in one message, which holds them all
-Whole = Annotated[int, Meta(ge=0, le=2**53)]
+UInt53 = Annotated[int, Meta(ge=0, le=2**53)]
 Tag = Annotated[int, Meta(ge=0, le=2**32 - 1)]
 Name = Annotated[str, Meta(max_length=3 * MAX_NAME + 2)]
 
@@ -30,7 +30,7 @@
 class Message(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """Base of all messages; the incarnation names the start of the sending process."""
 
-    incarnation: Whole
+    incarnation: UInt53
 
 
 class Heartbeat(Message, tag=1, frozen=True):
@@ -39,14 +39,14 @@
     One that asks for pre-votes holds no support; its followers are free from their promises to it.
     """
 
-    term: Whole
-    sequence: Whole  # of this heartbeat; members name it when they support the sender
+    term: UInt53
+    sequence: UInt53  # of this heartbeat; members name it when they support the sender
     is_leader: bool
-    reachable: Whole  # members that the sender hears from, itself included; 0: neither leader nor candidate
-    oldest: Whole  # ms since the least recent of them was heard from
+    reachable: UInt53  # members that the sender hears from, itself included; 0: neither leader nor candidate
+    oldest: UInt53  # ms since the least recent of them was heard from
 
     @property
-    def asks_pre_votes(self) -> bool:
+    def requests_pre_votes(self) -> bool:
         """Never true of earlier releases, whose candidates need no pre-votes: they count themselves."""
         return not self.is_leader and self.reachable == 0
 
@@ -55,8 +55,8 @@
     """What the sender holds of one budget by lease, and how much it wants."""
 
     budget: Tag
-    held: Whole
-    wanted: Whole
+    held: UInt53
+    wanted: UInt53
 
 
 class LeaseRequest(Message, tag=2, frozen=True):
@@ -65,12 +65,12 @@
     In answer to a heartbeat that asks for pre-votes it is one, without support and allocations.
     """
 
-    sequence: Whole  # of this request
-    recipient: Whole  # the incarnation of the process that is asked
-    heartbeat: Whole  # sequence of the newest heartbeat received from it
+    sequence: UInt53  # of this request
+    recipient: UInt53  # the incarnation of the process that is asked
+    heartbeat: UInt53  # sequence of the newest heartbeat received from it
     supports: bool  # the sender follows it, and no other process for the length of a lease
-    age: Whole  # ms since the sender started
-    term: Whole  # the newest term that the sender has seen
+    age: UInt53  # ms since the sender started
+    term: UInt53  # the newest term that the sender has seen
     allocations: Annotated[list[Allocation], Meta(max_length=MAX_ALLOCATIONS)]
 
 
@@ -78,28 +78,28 @@
     """How much of a budget may be used beside the reserve, for the length of a lease from the request on."""
 
     budget: Tag
-    amount: Whole
+    amount: UInt53
 
 
 class LeaseGrant(Message, tag=3, frozen=True):
     """The leader's answer to a lease request."""
 
-    recipient: Whole  # the incarnation that sent the request
-    request: Whole  # sequence of the request
+    recipient: UInt53  # the incarnation that sent the request
+    request: UInt53  # sequence of the request
     leases: Annotated[list[Lease], Meta(max_length=MAX_ALLOCATIONS)]
 
 
 class StaleIncarnation(Message, tag=4, frozen=True):
     """Tells the recipient that a newer incarnation of its process is known: its clock was set back."""
 
-    known: Whole
+    known: UInt53
 
 
 class Count(msgspec.Struct, array_like=True, frozen=True):
     """Totals of one service type, customer and version: since the sender's start, or over the whole fleet."""
 
     key: Name
-    totals: Annotated[list[Whole], Meta(min_length=5, max_length=5)]
+    totals: Annotated[list[UInt53], Meta(min_length=5, max_length=5)]
 
 
 class CountReport(Message, tag=5, frozen=True):
@@ -119,8 +119,8 @@
 
     healthy: Annotated[list[Tag], Meta(max_length=MAX_SERVERS)]
     failing: Annotated[list[Tag], Meta(max_length=MAX_SERVERS)]
-    tried_total: Whole  # also those that other messages name
-    failing_total: Whole
+    tried_total: UInt53  # also those that other messages name
+    failing_total: UInt53
 
 
 class Ejections(Message, tag=8, frozen=True):
@@ -132,50 +132,50 @@
 class VersionReport(Message, tag=9, frozen=True):
     """Sent to the leader: the version of a text in force at the sender, and the one it has accepted."""
 
-    kind: Whole
-    version: Whole
-    digest: Whole
-    accepted: Whole  # the newest version accepted and not yet in force; 0: none
-    accepted_term: Whole
-    accepted_digest: Whole
+    kind: UInt53
+    version: UInt53
+    digest: UInt53
+    accepted: UInt53  # the newest version accepted and not yet in force; 0: none
+    accepted_term: UInt53
+    accepted_digest: UInt53
     is_current: bool  # the sender has learnt since its start which version is in force
 
 
 class VersionAnnouncement(Message, tag=10, frozen=True):
     """Sent to all members by the leader: the version in force, and the one that is proposed."""
 
-    kind: Whole
-    sequence: Whole  # of this announcement; 0: the sender is not the leader
-    term: Whole
-    version: Whole
-    digest: Whole
-    proposed: Whole  # 0: none
-    proposed_digest: Whole
+    kind: UInt53
+    sequence: UInt53  # of this announcement; 0: the sender is not the leader
+    term: UInt53
+    version: UInt53
+    digest: UInt53
+    proposed: UInt53  # 0: none
+    proposed_digest: UInt53
 
 
 class ChunkRequest(Message, tag=11, frozen=True):
     """Asks for chunks of a text that the sender lacks, from one index on."""
 
-    digest: Whole
-    first: Whole
+    digest: UInt53
+    first: UInt53
 
 
 class Chunk(Message, tag=12, frozen=True):
     """One chunk of a compressed text."""
 
-    digest: Whole
-    index: Whole
-    total: Whole
+    digest: UInt53
+    index: UInt53
+    total: UInt53
     data: Annotated[bytes, Meta(max_length=CHUNK_SIZE)]
 
 
 class Vote(Message, tag=13, frozen=True):
     """Whether the sender accepts a proposed version, with the reason if it does not."""
 
-    kind: Whole
-    term: Whole  # of the leader that proposed it
-    version: Whole
-    digest: Whole
+    kind: UInt53
+    term: UInt53  # of the leader that proposed it
+    version: UInt53
+    digest: UInt53
     accepts: bool
     reason: Annotated[str, Meta(max_length=MAX_REASON)]
 
@@ -183,21 +183,21 @@
 class PublishRequest(Message, tag=14, frozen=True):
     """Asks the leader to publish a text in place of a version."""
 
-    kind: Whole
-    digest: Whole
-    replaces: Whole
+    kind: UInt53
+    digest: UInt53
+    replaces: UInt53
 
 
 class PublishResponse(Message, tag=15, frozen=True):
     """The outcome of a publish request: the new version, or the reason for its refusal."""
 
-    kind: Whole
-    digest: Whole
-    version: Whole  # 0: refused
+    kind: UInt53
+    digest: UInt53
+    version: UInt53  # 0: refused
     reason: Annotated[str, Meta(max_length=MAX_REASON)]
 
 
-Any = (
+AnyMessage = (
     Heartbeat
     | LeaseRequest
     | LeaseGrant
@@ -215,7 +215,7 @@
     | PublishResponse
 )
 ENCODER = msgspec.msgpack.Encoder()
-DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Any)
+DECODER: msgspec.msgpack.Decoder[AnyMessage] = msgspec.msgpack.Decoder(AnyMessage)
 
 
 def encode(message: Message) -> bytes:
@@ -226,7 +226,7 @@
     return data
 
 
-def decode(data: bytes) -> Any:
+def decode(data: bytes) -> AnyMessage:
     """The message of a datagram. Raises DatagramError if there is none in it."""
     if not data or data[0] != FORMAT_BYTE or len(data) > MAX_DATAGRAM:
         raise DatagramError(f"{len(data)} bytes of no form that is known", "fleet")
--- a/brambleplank/fleet/reports.py
+++ b/brambleplank/fleet/reports.py
@@ -43,16 +43,16 @@
         self.due_at = now + HEARTBEAT_INTERVAL * self.rng.uniform(0.9, 1.1)
         return True
 
-    def report(self, now: float, leader: int | None, leads: bool) -> None:
+    def report(self, now: float, leader: int | None, leading: bool) -> None:
         """Sends what has changed. A candidate keeps it, as it may soon be the one that adds it up."""
         if self.election.candidacy.is_active:
-            self.keep(now)
+            self.record_own_report(now)
         elif leader is not None:
-            self.report_to(now, leader)
-        if leads:
+            self.send_report(now, leader)
+        if leading:
             self.publish(now)
 
-    def keep(self, now: float) -> None:
+    def record_own_report(self, now: float) -> None:
         """Takes this process's own report."""
         number = self.identity.number
         self.counts.receive_report(number, self.identity.incarnation, self.counts.next_report())
@@ -62,7 +62,7 @@
             now, number, observations, observations.total, failing_total
         )
 
-    def report_to(self, now: float, leader: int) -> None:
+    def send_report(self, now: float, leader: int) -> None:
         """Sends counts and observations to the leader."""
         incarnation = self.identity.incarnation
         counts = self.counts.next_report()
--- a/brambleplank/fleet/retirement/progress.py
+++ b/brambleplank/fleet/retirement/progress.py
@@ -96,7 +96,7 @@
         self.routing = routing
         self.wall = wall
         self.log = log
-        self.now = fleet.identity.began  # at the last turn
+        self.now = fleet.identity.started_at  # at the last turn
         self.positions: dict[str, Place] = {}
         self.entered: dict[str, float] = {}  # when a step came into force here
         self.step_cache = StepCache()
--- a/brambleplank/fleet/routing/active_routes.py
+++ b/brambleplank/fleet/routing/active_routes.py
@@ -69,7 +69,7 @@
             more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
             raise TableError(f"{faults[0]}{more}")
         self.table = table
-        self.began = fleet.identity.began
+        self.began = fleet.identity.started_at
         self.tables: dict[int, route_table.Table] = {}  # prepared, by the digests of their texts
         self.by_file = False  # whether no member said which version is in force
         self.agreement = VersionAgreement(
--- a/brambleplank/fleet/server_observations.py
+++ b/brambleplank/fleet/server_observations.py
@@ -18,11 +18,11 @@
 
 OBSERVATION_LIFETIME = 8.0  # seconds for which an attempt counts
 FAILURES_TO_REPORT = 3  # failed in a row, before a server is reported as failing
-MIN_ACCUSERS = 2  # members at least that must find it failing
-CEILING = 1 / 5  # share of the servers that may be ejected at once, rounded down
+MIN_REPORTERS = 2  # members at least that must find it failing
+MAX_EJECTED_SHARE = 1 / 5  # share of the servers that may be ejected at once, rounded down
 EJECTION_DURATION = 3 * HEARTBEAT_INTERVAL  # seconds that an ejection holds
 MAX_SERVERS = 1024  # of which attempts and ejections are kept, and reports of each member
-REPORTS_AT_ONCE = 4  # messages of one report; 1,024 servers are all reported within the lifetime
+MAX_REPORT_MESSAGES = 4  # messages of one report; 1,024 servers are all reported within the lifetime
 NEVER = float("-inf")
 
 
@@ -42,16 +42,16 @@
 class ServerAttempts:
     """What this process met at one server."""
 
-    failed: int = 0  # in a row, lately
-    succeeded_at: float = NEVER
-    at: float = NEVER  # the last attempt
+    consecutive_failures: int = 0  # in a row, lately
+    last_success_at: float = NEVER
+    last_attempt_at: float = NEVER
 
 
 @dataclass(frozen=True)
 class Report:
     """What one message of a member said of some of the servers that it tried."""
 
-    at: float
+    received_at: float
     healthy: frozenset[int]
     failing: frozenset[int]
 
@@ -65,7 +65,7 @@
     """What one member reported lately, in as many reports as its servers take, oldest first."""
 
     reports: deque[Report] = field(default_factory=lambda: deque(maxlen=MAX_SERVERS))
-    finds_most_failing: bool = False
+    reports_most_failing: bool = False
 
     def add(self, report: Report, tried_total: int) -> None:
         """Adds a report, and drops old ones.
@@ -77,14 +77,14 @@
         while len(self.reports) > 1 and named - len(self.reports[0]) >= min(tried_total, MAX_SERVERS):
             named -= len(self.reports.popleft())
 
-    def opinions(self, now: float, servers: frozenset[int]) -> dict[int, bool]:
+    def recent_results(self, now: float, servers: frozenset[int]) -> dict[int, bool]:
         """Returns which of these servers it found healthy (True) or failing lately."""
-        found: dict[int, bool] = {}
+        results: dict[int, bool] = {}
         for report in self.reports:
-            if now < report.at + OBSERVATION_LIFETIME:
-                found.update(dict.fromkeys(report.healthy & servers, True))
-                found.update(dict.fromkeys(report.failing & servers, False))
-        return found
+            if now < report.received_at + OBSERVATION_LIFETIME:
+                results.update(dict.fromkeys(report.healthy & servers, True))
+                results.update(dict.fromkeys(report.failing & servers, False))
+        return results
 
 
 @dataclass
@@ -96,30 +96,32 @@
     ejected_until: dict[int, float] = field(default_factory=dict)  # by tag
     unreported: list[int] = field(default_factory=list)  # servers to report before any is reported again
 
-    def record_attempt(self, now: float, tag: int, good: bool) -> None:
+    def record_attempt(self, now: float, tag: int, succeeded: bool) -> None:
         """Notes how an attempt at a server ended."""
         attempts = self.attempts.pop(tag, None) or ServerAttempts()
-        if now >= attempts.at + OBSERVATION_LIFETIME:
-            attempts.failed = 0
-        attempts.at = now
-        if good:
-            attempts.failed = 0
-            attempts.succeeded_at = now
+        if now >= attempts.last_attempt_at + OBSERVATION_LIFETIME:
+            attempts.consecutive_failures = 0
+        attempts.last_attempt_at = now
+        if succeeded:
+            attempts.consecutive_failures = 0
+            attempts.last_success_at = now
         else:
-            attempts.failed += 1
+            attempts.consecutive_failures += 1
         self.attempts[tag] = attempts
         while len(self.attempts) > MAX_SERVERS:
             del self.attempts[next(iter(self.attempts))]
 
     def recent_observations(self, now: float) -> Observations:
         """Returns the servers that this process found healthy and failing lately."""
-        lately = {
+        recent = {
             tag: attempts
             for tag, attempts in self.attempts.items()
-            if now < attempts.at + OBSERVATION_LIFETIME
+            if now < attempts.last_attempt_at + OBSERVATION_LIFETIME
         }
-        healthy = [tag for tag, attempts in lately.items() if not attempts.failed]
-        failing = [tag for tag, attempts in lately.items() if attempts.failed >= FAILURES_TO_REPORT]
+        healthy = [tag for tag, attempts in recent.items() if not attempts.consecutive_failures]
+        failing = [
+            tag for tag, attempts in recent.items() if attempts.consecutive_failures >= FAILURES_TO_REPORT
+        ]
         return Observations(healthy, failing)
 
     def next_reports(self, now: float, size: int) -> list[Observations]:
@@ -129,7 +131,7 @@
         failing = set(observations.failing)
         if not self.unreported:
             self.unreported = [*observations.failing, *observations.healthy]
-        most = size * REPORTS_AT_ONCE
+        most = size * MAX_REPORT_MESSAGES
         due = [tag for tag in self.unreported[:most] if tag in healthy or tag in failing]
         self.unreported = self.unreported[most:]
         parts = [due[start : start + size] for start in range(0, len(due), size)]
@@ -139,28 +141,30 @@
         ]
 
     def receive_observations(
-        self, now: float, who: int, observations: Observations, tried_total: int, failing_total: int
+        self, now: float, sender: int, observations: Observations, tried_total: int, failing_total: int
     ) -> None:
         """Takes what a member found, of so many servers tried and so many of them failing."""
-        member = self.members.setdefault(who, MemberReports())
+        member = self.members.setdefault(sender, MemberReports())
         report = Report(now, frozenset(observations.healthy), frozenset(observations.failing))
         member.add(report, tried_total)
-        member.finds_most_failing = 2 * failing_total > tried_total
+        member.reports_most_failing = 2 * failing_total > tried_total
 
     def servers_to_eject(self, now: float, servers: int) -> list[int]:
         """Returns the servers that several members find failing, of so many in all; for the leader."""
-        members = [member for member in self.members.values() if not member.finds_most_failing]
+        members = [member for member in self.members.values() if not member.reports_most_failing]
         suspects = frozenset(tag for member in members for report in member.reports for tag in report.failing)
         if not suspects:
             return []
         healthy: Counter[int] = Counter()
         failing: Counter[int] = Counter()
         for member in members:
-            for tag, is_healthy in member.opinions(now, suspects).items():
+            for tag, is_healthy in member.recent_results(now, suspects).items():
                 (healthy if is_healthy else failing)[tag] += 1
-        agreed = [tag for tag, count in failing.items() if count >= MIN_ACCUSERS and count > 2 * healthy[tag]]
-        agreed.sort(key=lambda tag: (-failing[tag], tag))
-        return agreed[: int(CEILING * servers)]
+        to_eject = [
+            tag for tag, count in failing.items() if count >= MIN_REPORTERS and count > 2 * healthy[tag]
+        ]
+        to_eject.sort(key=lambda tag: (-failing[tag], tag))
+        return to_eject[: int(MAX_EJECTED_SHARE * servers)]
 
     def receive_ejections(self, now: float, tags: Iterable[int]) -> None:
         """Takes the leader's ejections."""
@@ -175,12 +179,12 @@
 
         The ceiling is applied here as well, as a faulty leader could name all of them.
         """
-        found = [tag for tag in servers if self.is_ejected(now, tag)]
-        return found[: int(CEILING * len(servers))]
+        ejected = [tag for tag in servers if self.is_ejected(now, tag)]
+        return ejected[: int(MAX_EJECTED_SHARE * len(servers))]
 
     def is_ejected(self, now: float, tag: int) -> bool:
         """Returns whether a server is ejected, and this process did not succeed there lately."""
         attempts = self.attempts.get(tag)
-        if attempts is not None and now < attempts.succeeded_at + OBSERVATION_LIFETIME:
+        if attempts is not None and now < attempts.last_success_at + OBSERVATION_LIFETIME:
             return False
         return now < self.ejected_until.get(tag, 0.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -147,10 +147,10 @@
     "borrower keeps more than it states": (
         Account,
         "release_unused",
-        "self.leased = min(still_leased, max(in_use, self.wants(now)))",
+        "self.leased = min(still_leased, max(in_use, self.wanted_units(now)))",
         "pass",
     ),
-    "start has its whole reserve": (Account, "begin_anew", "now + self.budget.memory", "now"),
+    "start has its whole reserve": (Account, "reset", "now + self.budget.usage_expiry", "now"),
     "lease never expires": (
         Account,
         "allowance release_unused",
@@ -166,7 +166,7 @@
     "late request counts": (
         member.FleetMember,
         "receive_lease_request",
-        "request.sequence <= member.newest_request",
+        "request.sequence <= member.last_request_sequence",
         "False",
     ),
     "start promises at once": (
@@ -178,7 +178,7 @@
     "any pre-vote request releases from a promise": (
         LeaderElection,
         "receive_pre_vote_request",
-        "self.followed.is_incarnation(who, heartbeat.incarnation)",
+        "self.followed.is_incarnation(sender, heartbeat.incarnation)",
         "True",
     ),
     "support counts from its arrival": (
--- a/tests/test_fleet_reports.py
+++ b/tests/test_fleet_reports.py
@@ -12,7 +12,7 @@
 from benchmarks.fleet_simulation import FleetSimulation
 from brambleplank.fleet import messages
 from brambleplank.fleet.leases import counts
-from brambleplank.fleet.leases.counts import CountKind, Counts, merged
+from brambleplank.fleet.leases.counts import CountKind, Counts, merge_totals
 from brambleplank.fleet.server_observations import (
     EJECTION_DURATION,
     OBSERVATION_LIFETIME,
@@ -25,8 +25,8 @@
 
 @given(totals, totals, totals)
 def test_merging_counts_is_commutative_associative_and_idempotent(a: Any, b: Any, c: Any) -> None:
-    assert merged(a, b) == merged(b, a) and merged(a, a) == a
-    assert merged(merged(a, b), c) == merged(a, merged(b, c))
+    assert merge_totals(a, b) == merge_totals(b, a) and merge_totals(a, a) == a
+    assert merge_totals(merge_totals(a, b), c) == merge_totals(a, merge_totals(b, c))
 
 
 @given(st.randoms(use_true_random=False))
