--- a/brambleplank/fleet/__init__.py
+++ b/brambleplank/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""What the processes of one fleet share: members, leases, counts, observations of servers, route tables.
+"""State that the processes of a fleet share: members, leases, counts, server observations, route tables.
 
-Free of I/O and of clocks.
+Performs no I/O and reads no clock.
 """
--- a/brambleplank/fleet/errors.py
+++ b/brambleplank/fleet/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong between processes of one fleet."""
+"""Errors in the exchange between the processes of a fleet."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class FleetError(BrambleplankError):
-    """Of what proxies share."""
+    """Base class of the fleet's errors."""
 
     ADVICE = "see docs/sharing.md"
 
 
 class DatagramError(FleetError):
-    """A datagram that is torn, too long, or of no form that is known: nothing of it is believed."""
+    """A datagram that is malformed, too long or not from another member. No part of it is used."""
 
-    ADVICE = "look whether something else sends to this address; nothing was taken up"
+    ADVICE = "check whether another program sends to this address; the datagram was dropped"
 
 
 class InvariantError(FleetError):
-    """An invariant does not hold: this process falls back to what it has by right."""
+    """A violated invariant. The process drops its leases and continues with its reserves only."""
 
-    ADVICE = "keep the log and report it; this process goes on with its reserve"
+    ADVICE = "keep the log and report it; this process continues with its reserves only"
 
 
 class UnknownBudgetError(FleetError):
-    """A budget that this process does not know by name."""
+    """A budget name that is not configured in this process."""
 
-    ADVICE = "name one of the budgets in the table `fleet`"
+    ADVICE = "use the name of a budget in the table `fleet`"
--- a/brambleplank/fleet/invariants.py
+++ b/brambleplank/fleet/invariants.py
@@ -1,7 +1,7 @@
-"""What always holds within one process, as code: checked by tests at each step, in service by a setting.
+"""Invariants of a single process: checked at each step in tests, and in service if a setting enables it.
 
-What holds over all processes together (no window, no instant over its budget; one leader at most) can only
-be judged from outside, in true time: `benchmarks/fleet_simulation.py` does.
+Invariants over all processes together (no window or instant over its budget, at most one leader) can only be
+checked from outside, in true time: `benchmarks/fleet_simulation.py` does so.
 """
 
 from __future__ import annotations
@@ -16,52 +16,53 @@
 
 
 def check(now: float, accounts: Sequence[Account], ledgers: Sequence[Ledger], coverage: Coverage) -> None:
-    """Checks use, leases and coverage. Raises InvariantError, naming what does not hold."""
+    """Checks accounts, ledgers and coverage. Raises InvariantError for the first violation."""
     for account in accounts:
         check_account(now, account)
     for ledger in ledgers:
         check_ledger(now, ledger)
     if not 1 <= coverage.reachable <= coverage.members or coverage.oldest < 0:
-        raise InvariantError(f"coverage says {coverage}", "fleet")
+        raise InvariantError(f"coverage out of range: {coverage}", "fleet")
 
 
 def check_account(now: float, account: Account) -> None:
-    """Raises InvariantError where more is leased or used than there can be."""
+    """Raises InvariantError if more units are leased or in use than the budget allows."""
     budget = account.budget
     location = f"fleet budget {budget.name}"
     if not 0 <= account.leased <= budget.leasable:
-        raise InvariantError(f"{account.leased} are lent of {budget.leasable}", location)
+        raise InvariantError(f"{account.leased} units leased, at most {budget.leasable} allowed", location)
     most = budget.leasable + account.reserve
     used = account.used(now)
     if not 0 <= used <= most:
-        raise InvariantError(f"{used} are used of {most}", location)
+        raise InvariantError(f"{used} units in use, at most {most} allowed", location)
 
 
 def check_ledger(now: float, ledger: Ledger) -> None:
-    """Raises InvariantError where more is outstanding than there is."""
+    """Raises InvariantError if more units are outstanding than the budget can lease."""
     budget = ledger.budget
     outstanding = ledger.outstanding(now)
     if now >= ledger.unknown_until and outstanding > budget.leasable:
         raise InvariantError(
-            f"{outstanding} units are out of {budget.leasable}", f"fleet budget {budget.name}"
+            f"{outstanding} units outstanding, at most {budget.leasable} allowed",
+            f"fleet budget {budget.name}",
         )
 
 
 def check_monotonic(previous: Mapping[str, int], current: Mapping[str, int]) -> None:
-    """Of versions, counts and steps of retirements, by name. Raises InvariantError where one has fallen."""
+    """Checks versions, counts and retirement steps, by name. Raises InvariantError if one has decreased."""
     for name, value in current.items():
         if value < previous.get(name, value):
-            raise InvariantError(f"{value} after {previous[name]}", f"fleet {name}")
+            raise InvariantError(f"decreased to {value} from {previous[name]}", f"fleet {name}")
 
 
 def check_ejection_limit(ejected: Sequence[int], servers: Sequence[int]) -> None:
-    """Raises InvariantError where more servers are judged bad than may be at once."""
+    """Raises InvariantError if more servers are ejected than may be at once."""
     if len(ejected) > MAX_EJECTED_SHARE * len(servers):
-        raise InvariantError(f"{len(ejected)} of {len(servers)} servers are passed over", "fleet judgements")
+        raise InvariantError(f"{len(ejected)} of {len(servers)} servers are ejected", "fleet ejections")
 
 
 class MonotonicValues:
-    """Values that never fall while a process runs, by name, of several sources."""
+    """Named values from several sources, none of which may decrease while the process runs."""
 
     def __init__(self, sources: list[Callable[[], dict[str, int]]]) -> None:
         self.sources = sources
@@ -72,18 +73,18 @@
         self.sources.append(source)
 
     def current(self) -> dict[str, int]:
-        """Returns all values."""
+        """Returns the current values of all sources."""
         values: dict[str, int] = {}
         for source in self.sources:
             values.update(source())
         return values
 
     def check(self) -> None:
-        """Raises InvariantError where a value has fallen since the last check."""
+        """Raises InvariantError if a value has decreased since the last check."""
         current = self.current()
         check_monotonic(self.last, current)
         self.last = current
 
     def accept(self) -> None:
-        """Takes the values as they are."""
+        """Makes the current values the baseline of the next check."""
         self.last = self.current()
--- a/brambleplank/fleet/leases/__init__.py
+++ b/brambleplank/fleet/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leader election, and what the leader lends or adds up: budgets by leases, and counts."""
+"""Leader election, budget leases granted by the leader, and counts that it aggregates."""
--- a/brambleplank/fleet/leases/account.py
+++ b/brambleplank/fleet/leases/account.py
@@ -1,4 +1,4 @@
-"""What one process may use of a budget, and what it has used."""
+"""One process's use of a budget: the units that it may use and those that it has used."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     MAX_CLOCK_DRIFT,
 )
 
-WINDOW_STEPS = 512  # parts of a window in which spending is remembered
-HEADROOM = 1 / 4  # over what was requested lately, so that a rise finds room
+WINDOW_STEPS = 512  # of a window; units are summed per step
+HEADROOM = 1 / 4  # share of recent demand that is requested on top, so that a rise finds free units
 
 
 class SpendingStep(NamedTuple):
-    """What was spent in one part of a window."""
+    """Units spent within one step of a window."""
 
-    expires_at: float  # when it leaves the window
+    expires_at: float  # when the units leave the window
     units: int
 
 
 class SpendingWindow:
-    """Adds up what was spent within a window, in a bounded number of steps; never less than the truth."""
+    """Sums the units spent within a sliding window, in a bounded number of steps; never too low."""
 
     def __init__(self, window: float) -> None:
         self.window = window  # seconds
@@ -44,29 +44,29 @@
             last = self.steps.pop()
             self.steps.append(SpendingStep(last.expires_at, last.units + units))
         else:
-            # Later units of this step go with it.
+            # Units spent later in this step expire together with these.
             self.steps.append(SpendingStep(expires_at + self.step_length, units))
 
     def expire(self, now: float) -> int:
-        """Forgets what has left the window, and returns the units that are in it."""
+        """Drops units that have left the window, and returns the sum of the rest."""
         while self.steps and self.steps[0].expires_at <= now:
             self.total -= self.steps.popleft().units
         return self.total
 
 
 class Account:
-    """One process's part of a budget."""
+    """One process's account of a budget."""
 
     def __init__(self, budget: Budget, number: int, now: float) -> None:
         self.budget = budget
         self.reserve = budget.reserve(number)
-        self.open_units = 0  # open units of a count
+        self.open_units = 0  # of a count
         self.reset(now)
 
     def reset(self, now: float) -> None:
-        """Starts over. What the process before has used of the reserve is not known, so it is waited out.
+        """Resets the account for a new incarnation. Open units of a count remain.
 
-        Open units of a count stay with this process.
+        The reserve is unusable until what earlier incarnations may have used of it has expired.
         """
         self.reserve_usable_from = now + self.budget.usage_expiry
         self.leased = 0
@@ -80,7 +80,7 @@
         return self.reserve if now >= self.reserve_usable_from else 0
 
     def allowance(self, now: float) -> int:
-        """Returns the units that this process may use at all."""
+        """Returns the units that this process may use in all."""
         lease_valid = not self.budget.window or now < self.leased_until
         return (self.leased if lease_valid else 0) + self.usable_reserve(now)
 
@@ -93,7 +93,7 @@
         return self.used(now) < self.allowance(now)
 
     def try_acquire(self, now: float) -> bool:
-        """Takes one unit, if one is left. `now` must be read for this call, as a stall may precede it."""
+        """Acquires one unit if one is free. `now` must be read for this call, as a stall may precede it."""
         if not self.has_free_unit(now):
             self.record_refusal(now)
             return False
@@ -104,23 +104,23 @@
         return True
 
     def record_refusal(self, now: float) -> None:
-        """Records that a unit was wanted, and there was none."""
+        """Records that a unit was requested and none was free."""
         self.refused.add(now)
 
     def adopt(self) -> None:
-        """Adds an open unit of a count from before this process began, whatever is allowed."""
+        """Adds an open unit of a count from before this process started, whatever the allowance."""
         self.open_units += 1
 
     def release(self) -> None:
-        """Frees one unit of a count. Raises InvariantError if none is open."""
+        """Releases one unit of a count. Raises InvariantError if none is open."""
         self.open_units -= 1
         if self.open_units < 0:
-            raise InvariantError("more was given back than was taken", f"fleet budget {self.budget.name}")
+            raise InvariantError("more units were released than acquired", f"fleet budget {self.budget.name}")
 
     def release_unused(self, now: float) -> int:
-        """Lowers the lease to what is in use or wanted, and returns the most that can be in use from now on.
+        """Reduces the lease to the units in use or wanted; returns the most that can be in use from now on.
 
-        The leader may lease the rest to others at once.
+        The leader may lease the remainder to other members at once.
         """
         in_use = max(0, self.used(now) - self.usable_reserve(now))
         still_leased = self.leased if not self.budget.window or now < self.leased_until else 0
@@ -128,17 +128,17 @@
         return max(self.leased, in_use)
 
     def wanted_units(self, now: float) -> int:
-        """Returns the units to ask a lease for."""
+        """Returns the units to request a lease of."""
         requested = self.used(now) + self.refused.expire(now)
         if not requested:
             return 0
         return max(0, ceil(requested * (1 + HEADROOM)) + 1 - self.reserve)
 
     def receive_lease(self, requested_at: float, amount: int) -> None:
-        """Takes a lease from the time of its request on; a faulty leader cannot grant more than there is."""
+        """Applies a lease, which runs from its request; bounded, as a faulty leader could grant too much."""
         self.leased = min(amount, self.budget.leasable)
         self.leased_until = requested_at + LEASE_DURATION * HOLDER_CLOCK_FACTOR
 
     def drop_lease(self) -> None:
-        """Goes on with the reserve alone, where the rest cannot be trusted."""
+        """Drops the lease, so that only the reserve remains."""
         self.leased = 0
--- a/brambleplank/fleet/leases/candidacy.py
+++ b/brambleplank/fleet/leases/candidacy.py
@@ -1,4 +1,4 @@
-"""What a process holds of its own candidacy: the heartbeats it sent, its pre-votes and its supporters."""
+"""The candidacy of this process: the heartbeats that it sent, its pre-votes and its supporters."""
 
 from __future__ import annotations
 
@@ -9,60 +9,60 @@
 
 
 class SentHeartbeats:
-    """When this process sent its latest heartbeats of one kind, by their sequence numbers."""
+    """Send times of this process's latest heartbeats of one kind, by sequence number."""
 
     def __init__(self) -> None:
-        self.times: dict[int, float] = {}  # the oldest first
+        self.times: dict[int, float] = {}  # oldest first
 
     def record(self, sequence: int, now: float) -> None:
-        """Notes a heartbeat that is sent now, and forgets the oldest beyond the limit."""
+        """Records a heartbeat that is sent now, and drops the oldest beyond the limit."""
         self.times[sequence] = now
         while len(self.times) > MAX_SENT_HEARTBEATS:
             del self.times[next(iter(self.times))]
 
     def clear(self) -> None:
-        """Forgets all, so that no answer to one of them counts any more."""
+        """Drops all, so that replies to them no longer count."""
         self.times.clear()
 
 
 class PreVotes:
-    """Who would follow this process, in answer to its requests. They bind nobody."""
+    """Pre-votes of members, in reply to this process's requests. They bind no one."""
 
     def __init__(self, majority: int) -> None:
         self.majority = majority
         self.requests = SentHeartbeats()
-        self.requested_at: dict[int, float] = {}  # when each member's pre-vote was requested
+        self.requested_at: dict[int, float] = {}  # by member, when its pre-vote was requested
 
     def receive(self, sender: int, sequence: int) -> None:
-        """Takes a member's answer to the request of that sequence number."""
+        """Records a member's reply to the request with that sequence number."""
         if sequence in self.requests.times:
             self.requested_at[sender] = self.requests.times[sequence]
 
     def is_majority(self, now: float) -> bool:
-        """Returns whether a majority, this process included, would follow it as of lately."""
+        """Returns whether a majority, this process included, recently gave this process its pre-vote."""
         recent = sum(at > now - LEASE_DURATION / 2 for at in self.requested_at.values())
         return 1 + recent >= self.majority
 
     def clear(self) -> None:
-        """Forgets the answers. They do not count for another candidacy."""
+        """Drops all pre-votes. They do not count for another candidacy."""
         self.requested_at.clear()
 
 
 class Candidacy:
-    """This process's candidacy, and its lead while a majority supports it."""
+    """This process's candidacy, and its leadership while a majority supports it."""
 
     def __init__(self, majority: int) -> None:
         self.majority = majority
         self.is_active = False  # as a candidate or leader
         self.term = 0
         self.has_led = False  # since it became a candidate
-        self.leader_since: float | None = None  # since when it leads without a gap
-        self.ends_at = 0.0  # when a candidacy without success ends
+        self.leader_since: float | None = None  # start of its uninterrupted leadership
+        self.ends_at = 0.0  # when an unsuccessful candidacy ends
         self.heartbeats = SentHeartbeats()
-        self.supporters: dict[int, float] = {}  # by member, until when it follows this process
+        self.supporters: dict[int, float] = {}  # by member, when its support expires
 
     def begin(self, term: int, ends_at: float) -> None:
-        """Becomes a candidate."""
+        """Starts a candidacy."""
         self.is_active = True
         self.has_led = False
         self.term = term
@@ -70,14 +70,14 @@
         self.ends_at = ends_at
 
     def withdraw(self) -> None:
-        """Drops all support, also that of messages that arrive late."""
+        """Ends the candidacy and drops all support, including any in messages that arrive late."""
         self.is_active = False
         self.leader_since = None
         self.supporters.clear()
         self.heartbeats.clear()
 
     def has_failed(self, now: float) -> bool:
-        """Returns whether this process should step down: it lost its majority, or never had one in time."""
+        """Returns whether to step down: the majority is lost, or was not reached in time."""
         return self.is_active and not self.is_leader(now) and (self.has_led or now >= self.ends_at)
 
     def support_expiry(self) -> float:
@@ -86,21 +86,21 @@
         return expiries[self.majority - 1] if len(expiries) >= self.majority else NEVER
 
     def is_leader(self, now: float) -> bool:
-        """Returns whether this process leads. A lead that has expired does not come back by late support."""
+        """Returns whether this process leads. Late support does not restore a leadership that has expired."""
         if self.is_active and now < self.support_expiry():
             return self.leader_since is not None
         self.leader_since = None
         return False
 
     def sent_in_current_term(self, sequence: int) -> bool:
-        """Returns whether a heartbeat was sent since this process has led without a gap."""
+        """Returns whether a heartbeat was sent during the current uninterrupted leadership."""
         sent_at = self.heartbeats.times.get(sequence, NEVER)
         return self.leader_since is not None and sent_at >= self.leader_since
 
     def add_support(self, now: float, sender: int, sequence: int) -> bool:
-        """Counts a member that names the heartbeat it promised for. Returns whether that one is known.
+        """Records support by a member that refers to a heartbeat. Returns whether that heartbeat is known.
 
-        Counted from now and not from that heartbeat, the support would outlast the promise.
+        The support runs from when the heartbeat was sent. Counted from now, it would outlast the promise.
         """
         if not self.is_active or sequence not in self.heartbeats.times:
             return False
@@ -111,7 +111,7 @@
         return True
 
     def become_leader_if_supported(self, now: float, lowest_term: int) -> None:
-        """Begins to lead once a majority supports this process.
+        """Becomes the leader if a majority supports this process.
 
         With a lower term than the last leader's, an older agreement would replace a newer one.
         """
--- a/brambleplank/fleet/leases/client.py
+++ b/brambleplank/fleet/leases/client.py
@@ -1,4 +1,4 @@
-"""Requests leases of the leader for this process's accounts, and takes its grants."""
+"""Requests leases from the leader for this process's accounts, and applies its grants."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from brambleplank.fleet.leases.timing import HEARTBEAT_INTERVAL, LEASE_DURATION
 from brambleplank.fleet.messages import Allocation, Heartbeat, LeaseGrant, LeaseRequest
 
-EARLY_RETRY_INTERVAL = 0.25  # seconds between two requests, where a unit was refused for lack of a lease
-BACKOFF_FACTOR = 1.5  # factor from one wait to the next while no answer comes
+EARLY_RETRY_INTERVAL = 0.25  # seconds between requests after a unit was refused for lack of a lease
+BACKOFF_FACTOR = 1.5  # between consecutive waits while no reply arrives
 MAX_RETRY_WAIT = 2 * HEARTBEAT_INTERVAL  # seconds
-MS_PER_SECOND = 1000  # in a second
+MS_PER_SECOND = 1000
 
 
 class Identity(Protocol):
-    """This process's start, as far as requests name it."""
+    """The identity of this process in lease requests."""
 
     @property
     def incarnation(self) -> int:
@@ -30,7 +30,7 @@
 
 
 class LeaseClient:
-    """This process as a borrower; `accounts` are by the tags of their budgets."""
+    """This process as a borrower. `accounts` are keyed by the tags of their budgets."""
 
     def __init__(
         self,
@@ -52,11 +52,11 @@
         self.due_at = now + rng.uniform(0, HEARTBEAT_INTERVAL)
 
     def has_lease(self, now: float) -> bool:
-        """Returns whether the leader has answered within the length of a lease."""
+        """Returns whether the leader has answered a request within the last lease duration."""
         return now < self.granted_at + LEASE_DURATION
 
     def record_refusal(self) -> None:
-        """A unit was wanted, and there was none; a lease is requested soon."""
+        """Records that a unit was refused; the next request becomes due early."""
         self.unit_refused = True
 
     def expedite(self, now: float) -> None:
@@ -73,19 +73,19 @@
         return now >= self.requested_at + wait
 
     def retry_wait(self) -> float:
-        """Returns the seconds to the next request. A leader without answer is asked less and less often."""
+        """Returns the seconds until the next request, which increase while the leader does not reply."""
         if not self.unanswered:
             return HEARTBEAT_INTERVAL
-        # A candidate answers nothing yet; asked less and less, it would miss its majority on lossy links.
+        # A candidate does not reply yet. Backing off would cost it its majority on lossy links.
         steps = self.unanswered - 1 if self.election.followed.is_elected else 0
         return exponential_backoff(HEARTBEAT_INTERVAL / 2, BACKOFF_FACTOR, steps, MAX_RETRY_WAIT)
 
     def schedule_retry(self, now: float, wait: float) -> None:
-        """Makes the next request due after about so many seconds."""
+        """Schedules the next request in about `wait` seconds."""
         self.due_at = now + wait * self.rng.uniform(0.9, 1.0)
 
     def next_request(self, now: float) -> LeaseRequest:
-        """Returns a request to the process that this one follows, with all that this one holds."""
+        """Returns a request to the followed process, with all units that this process holds."""
         election = self.election
         supports = election.supports_leader(now)
         self.sequence += 1
@@ -108,7 +108,7 @@
         )
 
     def pre_vote(self, now: float, heartbeat: Heartbeat) -> LeaseRequest:
-        """Returns the answer that this process would follow the sender. It promises and requests nothing."""
+        """Returns a pre-vote for the sender of a heartbeat. It makes no promise and requests no lease."""
         self.sequence += 1
         return LeaseRequest(
             incarnation=self.identity.incarnation,
@@ -126,9 +126,9 @@
         return round(self.identity.age(now) * MS_PER_SECOND)
 
     def receive_grant(self, now: float, sender: int, grant: LeaseGrant) -> None:
-        """Takes the answer to the newest request.
+        """Applies the reply to the newest request.
 
-        The leader counts on that one; an older answer is void.
+        The leader's record matches that request; earlier replies are void.
         """
         if grant.recipient != self.identity.incarnation:
             return
@@ -143,7 +143,7 @@
                 self.accounts[lease.budget].receive_lease(self.requested_at, lease.amount)
 
     def reset(self, now: float) -> None:
-        """Starts over under a new incarnation, whose requests are numbered anew."""
+        """Resets the client for a new incarnation, whose requests are numbered from 1 again."""
         self.sequence = 0
         self.unanswered = 0
         for account in self.accounts.values():
--- a/brambleplank/fleet/leases/lender.py
+++ b/brambleplank/fleet/leases/lender.py
@@ -1,4 +1,4 @@
-"""Grants leases on all budgets, where this process leads."""
+"""Grants leases on all budgets while this process leads."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 from brambleplank.fleet.leases.ledger import Borrower, Ledger, Renewal
 from brambleplank.fleet.messages import Lease, LeaseRequest
 
-MS_PER_SECOND = 1000  # in a second
+MS_PER_SECOND = 1000
 
 
 class Lender:
-    """The leader's ledgers, by the tags of their budgets."""
+    """The leader's ledgers, by budget tag."""
 
     def __init__(self, budgets: Sequence[Budget]) -> None:
         self.ledgers = {budget.tag: Ledger(budget) for budget in budgets}
 
     def begin_term(self, now: float) -> None:
-        """Begins a term, in which what was granted before is not known."""
+        """Starts a term, in which the grants of earlier leaders are unknown."""
         for ledger in self.ledgers.values():
             ledger.begin_term(now)
 
     def grant(
         self, now: float, borrower: Borrower, request: LeaseRequest, earlier: Sequence[Borrower]
     ) -> list[Lease]:
-        """Returns leases on the budgets of a request that are known here.
+        """Returns leases on those budgets of a request that this process has configured.
 
-        `earlier` are starts of the same member before. Raises InvariantError if more would be outstanding
-        than there is.
+        `earlier` are earlier incarnations of the same member. Raises InvariantError if more units would be
+        outstanding than a budget can lease.
         """
         leases = []
         for allocation in request.allocations:
--- a/brambleplank/fleet/member.py
+++ b/brambleplank/fleet/member.py
@@ -1,8 +1,8 @@
-"""One process's part in its fleet: what it sends, what it makes of what it receives, what it may spend.
+"""A fleet member: the messages that one process sends and receives, and the budget units that it may use.
 
-A carrier (`net/fleet_link.py`, or the tests' virtual links) calls `tick` about ten times a second and
-`receive_datagram` for each datagram, and sends what `say` is given. Nothing here waits for an answer: whether
-a unit of a budget may be used is known at once.
+A host (`net/fleet_link.py`, or the simulated links of the tests) calls `tick` about ten times a second and
+`receive_datagram` for each datagram, and transmits what `send_datagram` gets. No call waits for a reply:
+whether a unit of a budget may be used is decided at once, from local state.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from brambleplank.fleet.versions.agreements import Agreements
 from brambleplank.fleet.versions.identity import AgreementIdentity
 
-MS_PER_SECOND = 1000  # in a second
+MS_PER_SECOND = 1000
 
 
 class FleetMember:
-    """`servers` gives the tags of the ready servers; `log` takes a line for operators."""
+    """One member of a fleet. `servers` returns the tags of the ready servers; `log` writes a log line."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         servers: Callable[[], list[int]] = list,
         check: bool = False,
     ) -> None:
-        """`say` sends a datagram to one member by its number, or to all others."""
+        """`send_datagram` sends to one member by its number, or to all others (None)."""
         self.identity = MemberIdentity(number, members, incarnation, now)
         self.send_datagram = send_datagram
         self.log = log
@@ -56,43 +56,43 @@
         by_tag = {account.budget.tag: account for account in self.accounts.values()}
         self.lease_client = LeaseClient(self.identity, by_tag, self.election, now, self.rng)
         self.lender = Lender(budgets)
-        self.leading = False  # as of the last turn
+        self.leading = False  # as of the last `update_leadership`
         self.reports = Reports(self.identity, self.election, self.send, servers, now, self.rng)
         self.membership = Membership(self.identity, now, log)
         self.agreements = Agreements(self.election)
         self.monotonic = invariants.MonotonicValues([self.monotonic_values])
 
     def agreement_identity(self, kind: int, name: str) -> AgreementIdentity:
-        """Returns this process's place in the agreement on a kind of text."""
+        """Returns this process's identity in the agreement on one kind of text."""
         identity = self.identity
         return AgreementIdentity(kind, name, identity.number, identity.members, identity.incarnation)
 
-    # What the proxy asks.
+    # Queries by the proxy.
 
     @property
     def counts(self) -> Counts:
-        """Counts of requests, this process's own and the fleet's."""
+        """Request counts of this process and of the fleet."""
         return self.reports.counts
 
     @property
     def server_observer(self) -> ServerObserver:
-        """What this process and the others found of servers."""
+        """Server observations of this process and of the other members."""
         return self.reports.server_observer
 
     @property
     def partitioned(self) -> bool:
-        """Whether no leader has answered for the length of a lease."""
+        """Whether no leader has answered a lease request for at least one lease duration."""
         return self.membership.partitioned
 
     def account(self, name: str) -> Account:
-        """Returns this process's part of a budget. Raises UnknownBudgetError for a name that is not known."""
+        """Returns this process's account of a budget. Raises UnknownBudgetError for an unknown name."""
         try:
             return self.accounts[name]
         except KeyError:
-            raise UnknownBudgetError(f"no budget of the name {name!r:.40}", "fleet") from None
+            raise UnknownBudgetError(f"no budget is named {name!r:.40}", "fleet") from None
 
     def try_acquire(self, now: float, name: str) -> bool:
-        """Takes one unit of a budget, if this process may use one more. Raises UnknownBudgetError."""
+        """Acquires one unit of a budget if one is free. Raises UnknownBudgetError."""
         acquired = self.account(name).try_acquire(now)
         if not acquired:
             self.lease_client.record_refusal()
@@ -101,29 +101,29 @@
         return acquired
 
     def record_refusal(self, now: float, account: Account) -> None:
-        """A unit was wanted, and there was none; a lease is requested soon."""
+        """Records that a unit was requested and none was free; a lease request becomes due early."""
         account.record_refusal(now)
         self.lease_client.record_refusal()
 
     def has_lease(self, now: float) -> bool:
-        """Returns whether the leader has answered within the length of a lease."""
+        """Returns whether the leader has answered a lease request within the last lease duration."""
         return self.lease_client.has_lease(now)
 
     def coverage(self, now: float) -> Coverage:
-        """Returns how much of the fleet is reachable, by this process if it leads or else by the leader."""
+        """Returns the fleet's coverage: this member's own if it leads, else as the leader reported it."""
         return self.membership.coverage(now, self.election.is_leader(now))
 
-    # Turns.
+    # Periodic work.
 
     def tick(self, now: float) -> None:
-        """Takes a turn, about every tenth of a second."""
+        """Runs the work that is due. Called about ten times a second."""
         try:
             self.run_due_tasks(now)
         except InvariantError as violation:
             self.recover(now, violation)
 
     def run_due_tasks(self, now: float) -> None:
-        """Sends what is due."""
+        """Sends due messages, updates the leadership, and checks invariants if this is enabled."""
         self.send_due_heartbeat(now)
         self.update_leadership(now)
         self.agreements.tick(now)
@@ -154,7 +154,7 @@
         self.send(heartbeat)
 
     def update_leadership(self, now: float) -> None:
-        """Begins or ends a term, where the election says so."""
+        """Starts or ends this process's term as the election decides."""
         leading = self.election.is_leader(now)
         if leading and not self.leading:
             self.lender.begin_term(now)
@@ -166,7 +166,7 @@
         self.leading = leading
 
     def request_leases(self, now: float) -> None:
-        """Requests leases of the process that this one follows, which may be itself."""
+        """Sends a lease request to the followed process, which may be this one itself."""
         leader = self.election.leader
         if leader is None:
             return
@@ -177,20 +177,22 @@
             self.send(request, leader)
 
     def report(self, now: float) -> None:
-        """Reports to the leader, or as the leader to all."""
+        """Reports to the leader; as the leader, publishes to all members."""
         leading = self.election.is_leader(now)
         leader = self.election.leader
         self.agreements.report(now, leader)
         self.reports.report(now, leader, leading)
 
     def log_reachability(self, now: float) -> None:
-        """Logs when a partition begins and ends; as the leader, which members are unreachable."""
+        """Logs the start and end of a partition; as the leader, also changes in members' reachability."""
         if self.leading:
             self.membership.log_unreachable(now)
         if not self.membership.update_partition(now, self.lease_client.granted_at):
             return
         if self.partitioned:
-            reserves = ", ".join(f"{name} {a.allowance(now)}" for name, a in self.accounts.items())
+            reserves = ", ".join(
+                f"{name} {account.allowance(now)}" for name, account in self.accounts.items()
+            )
             self.log(
                 f"fleet: partitioned (in the dark): no leases; "
                 f"reserves: {reserves or 'none'}; counts are local"
@@ -201,7 +203,7 @@
     # Invariants.
 
     def check_invariants(self, now: float) -> None:
-        """Checks what must hold. A state that cannot be is logged and not spent from."""
+        """Checks the invariants. After a violation, leases are dropped and only the reserves are used."""
         ledgers = [*self.lender.ledgers.values()] if self.election.is_leader(now) else []
         servers = self.servers()
         ejected = self.server_observer.ejected_servers(now, servers)
@@ -213,15 +215,15 @@
             self.recover(now, violation)
 
     def monotonic_values(self) -> dict[str, int]:
-        """Returns what never falls while this process runs."""
+        """Returns the values that must not decrease while this process runs."""
         values = self.agreements.versions()
         values["counts"] = sum(map(sum, self.counts.fleet.values()))
         return values
 
     def recover(self, now: float, violation: InvariantError) -> None:
-        """Logs a broken invariant, and goes on with the reserve alone."""
+        """Logs a violated invariant and drops all leases, so that only the reserves remain."""
         self.log(f"fleet: {violation.with_advice()}")
-        self.monotonic.accept()  # once logged is enough
+        self.monotonic.accept()  # a violation is logged once only
         for account in self.accounts.values():
             account.drop_lease()
         self.lender.begin_term(now)
@@ -233,19 +235,19 @@
         self.send_datagram(messages.encode(message), to)
 
     def receive_datagram(self, now: float, sender: int, data: bytes) -> None:
-        """Takes a datagram. Raises DatagramError for what is no message, or comes from no member."""
+        """Handles a datagram. Raises DatagramError if it is malformed or not from another member."""
         try:
             self.receive(now, sender, messages.decode(data))
         except InvariantError as violation:
             self.recover(now, violation)
 
     def receive(self, now: float, sender: int, message: messages.AnyMessage) -> None:
-        """Takes a message of another member, unless an older start of it has sent it."""
+        """Handles a message of another member. One from an earlier incarnation is rejected with a reply."""
         if not self.membership.is_other(sender):
-            raise DatagramError(f"from no other member: {sender}", "fleet")
+            raise DatagramError(f"sender {sender} is not another member", "fleet")
         member = self.membership.state(sender)
         if message.incarnation < member.incarnation:
-            # Late, by a start that is over; or its clock was set back.
+            # A late message of an earlier process, or the sender's clock was set back.
             self.send(messages.StaleIncarnation(self.identity.incarnation, member.incarnation), sender)
             return
         if message.incarnation > member.incarnation:
@@ -253,7 +255,7 @@
         self.dispatch(now, sender, message)
 
     def dispatch(self, now: float, sender: int, message: messages.AnyMessage) -> None:
-        """Hands a message to what it concerns."""
+        """Passes a message to its handler."""
         match message:
             case messages.LeaseRequest():
                 self.note_reachable(now, sender)
@@ -272,30 +274,30 @@
                 self.agreements.receive(now, sender, message)
 
     def note_reachable(self, now: float, sender: int) -> None:
-        """Notes that a member was heard."""
+        """Records that a lease request of a member has arrived."""
         self.membership.state(sender).last_request_at = now
         self.agreements.note_reachable(now, sender)
 
     def follows(self, sender: int, incarnation: int) -> bool:
-        """Returns whether this process follows that start of a member."""
+        """Returns whether this process follows that incarnation of a member."""
         return self.election.followed.is_incarnation(sender, incarnation)
 
     def follows_leader(self, sender: int, incarnation: int) -> bool:
-        """Returns whether this process follows that start of a member, and it leads."""
+        """Returns whether this process follows that incarnation of a member, and it is the elected leader."""
         return self.follows(sender, incarnation) and self.election.followed.is_elected
 
     def receive_heartbeat(self, now: float, sender: int, heartbeat: messages.Heartbeat) -> None:
-        """Takes a heartbeat; it may change whom this process follows."""
+        """Handles a heartbeat, which may change the member that this process follows."""
         leader_before = self.election.leader
         if self.election.receive_heartbeat(now, sender, heartbeat):
             self.send(self.lease_client.pre_vote(now, heartbeat), sender)
         if self.election.leader not in (leader_before, None):
-            self.lease_client.expedite(now)  # a candidate waits for its supporters
+            self.lease_client.expedite(now)  # the new candidate needs this support to be elected
         if heartbeat.is_leader and self.follows(sender, heartbeat.incarnation):
             self.membership.receive_coverage(now, heartbeat.reachable, heartbeat.oldest / MS_PER_SECOND)
 
     def receive_lease_request(self, now: float, sender: int, request: messages.LeaseRequest) -> None:
-        """Takes a member's support and pre-vote; as the leader, answers by a grant."""
+        """Records the support and pre-vote in a lease request; as the leader, replies with a grant."""
         own = sender == self.identity.number
         if request.recipient != self.identity.incarnation:
             return
@@ -303,7 +305,7 @@
         if not own:
             member = self.membership.state(sender)
             if request.sequence <= member.last_request_sequence:
-                return  # A late or repeated one says what its process had, not what it has.
+                return  # A late or duplicate request states outdated units.
             member.last_request_sequence = request.sequence
             earlier = [Borrower(sender, incarnation) for incarnation in member.earlier_incarnations]
         if request.supports:
@@ -314,13 +316,13 @@
             return
         self.update_leadership(now)
         if not self.election.candidacy.sent_in_current_term(request.heartbeat):
-            return  # Sent before this term, it may claim a lease that was granted to another since.
+            return  # Sent before this term: its units may have been leased to another since.
         self.grant_leases(now, sender, request, earlier)
 
     def grant_leases(
         self, now: float, sender: int, request: messages.LeaseRequest, earlier: list[Borrower]
     ) -> None:
-        """Answers a lease request as the leader."""
+        """Grants leases in reply to a request, as the leader."""
         borrower = Borrower(sender, request.incarnation)
         try:
             leases = self.lender.grant(now, borrower, request, earlier)
@@ -334,9 +336,9 @@
             self.send(grant, sender)
 
     def receive_stale_incarnation(self, now: float, sender: int, message: messages.StaleIncarnation) -> None:
-        """Begins anew if the leader knows a newer start of this process.
+        """Starts a new incarnation if the followed member knows a newer one of this process.
 
-        An answer to a late message of an earlier start, or a forged one, must not restart this member.
+        The reply to a late message of an earlier incarnation, or a forged one, must not restart this member.
         """
         if message.known > self.identity.incarnation and self.follows(sender, message.incarnation):
             self.start_new_incarnation(now, message.known)
@@ -344,7 +346,7 @@
     def receive_report(
         self, now: float, sender: int, message: messages.CountReport | messages.ServerObservations
     ) -> None:
-        """Takes what a member counted, or found of servers."""
+        """Handles the counts or server observations of a member."""
         if isinstance(message, messages.CountReport):
             self.counts.receive_report(sender, message.incarnation, message.counts)
         else:
@@ -356,7 +358,7 @@
     def receive_published(
         self, now: float, sender: int, message: messages.Aggregates | messages.Ejections
     ) -> None:
-        """Takes what the leader makes of the reports."""
+        """Handles the aggregates or ejections that the leader publishes."""
         if not self.follows_leader(sender, message.incarnation):
             return
         if isinstance(message, messages.Aggregates):
@@ -365,7 +367,7 @@
             self.server_observer.receive_ejections(now, message.servers)
 
     def start_new_incarnation(self, now: float, known: int) -> None:
-        """A start of this process with a higher number is known: nothing that this one sent was taken."""
+        """Starts an incarnation newer than the known one; members have rejected all messages of this one."""
         self.identity.reset(now, known + 1)
         self.lease_client.reset(now)
         self.election.reset(now, self.identity.incarnation)
--- a/brambleplank/fleet/membership.py
+++ b/brambleplank/fleet/membership.py
@@ -1,4 +1,4 @@
-"""Who the members of a fleet are, what is known of their starts, and how much of the fleet is reachable."""
+"""The members of a fleet: their incarnations, when each was last reached, and the fleet's coverage."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from brambleplank.fleet.leases.counts import Coverage
 from brambleplank.fleet.leases.timing import LEASE_DURATION
 
-MAX_EARLIER_INCARNATIONS = 4  # of a member
+MAX_EARLIER_INCARNATIONS = 4  # of each member
 NEVER = float("-inf")
 
 
 @dataclass
 class MemberIdentity:
-    """This process's place in its fleet."""
+    """The identity of this process in its fleet."""
 
     number: int
     members: int
-    incarnation: int  # names this start
+    incarnation: int  # identifies this start of the process
     started_at: float  # on this process's clock
 
     def reset(self, now: float, incarnation: int) -> None:
-        """Goes on under another incarnation, as if it had just started."""
+        """Continues under another incarnation, as if the process had just started."""
         self.incarnation = incarnation
         self.started_at = now
 
@@ -33,15 +33,15 @@
 
 @dataclass
 class MemberState:
-    """What is known of another process."""
+    """What this process knows of another member."""
 
-    incarnation: int = 0  # of its newest start
+    incarnation: int = 0  # the newest one seen
     last_request_sequence: int = 0  # sequence of its newest lease request
-    last_request_at: float = NEVER  # when its newest lease request was received
-    earlier_incarnations: tuple[int, ...] = ()  # incarnations of earlier starts
+    last_request_at: float = NEVER  # when a lease request of it last arrived
+    earlier_incarnations: tuple[int, ...] = ()  # oldest first
 
     def begin_incarnation(self, incarnation: int) -> None:
-        """Takes note of a newer start."""
+        """Records a newer incarnation of the member."""
         if self.incarnation:
             self.earlier_incarnations = (*self.earlier_incarnations, self.incarnation)[
                 -MAX_EARLIER_INCARNATIONS:
@@ -52,38 +52,38 @@
         self.last_request_sequence = 0
 
     def is_reachable(self, now: float) -> bool:
-        """Returns whether it was heard within the length of a lease."""
+        """Returns whether a lease request of the member arrived within the last lease duration."""
         return now < self.last_request_at + LEASE_DURATION
 
 
 class Membership:
-    """The other members, and the coverage of what this process knows of the fleet."""
+    """The other members, and how much of the fleet is reachable."""
 
     def __init__(self, identity: MemberIdentity, now: float, log: Callable[[str], None]) -> None:
         self.identity = identity
         self.log = log
         self.others: dict[int, MemberState] = {}
-        self.unreachable: set[int] = set()  # members that were logged as such
+        self.unreachable: set[int] = set()  # members that were logged as unreachable
         self.leader_coverage = Coverage(1, identity.members, 0.0)  # as the leader last reported it
         self.leader_coverage_at = now
         self.partitioned = False
-        self.partition_known_from = now + LEASE_DURATION  # a partition is not reported before
+        self.partition_known_from = now + LEASE_DURATION  # no partition is reported before
 
     def is_other(self, member: int) -> bool:
         """Returns whether a number is that of another member."""
         return 0 <= member < self.identity.members and member != self.identity.number
 
     def state(self, member: int) -> MemberState:
-        """Returns what is known of another member."""
+        """Returns the state of another member."""
         return self.others.setdefault(member, MemberState())
 
     def receive_coverage(self, now: float, reachable: int, oldest: float) -> None:
-        """Takes the leader's report of how many members it reaches, the least recent so many seconds ago."""
+        """Records the leader's coverage: reachable members, and seconds since the oldest contact."""
         self.leader_coverage = Coverage(reachable, self.identity.members, oldest)
         self.leader_coverage_at = now
 
     def coverage(self, now: float, leading: bool) -> Coverage:
-        """Returns the coverage by this process itself if it leads, or as the leader reported it lately."""
+        """Returns this member's own coverage if it leads, else the leader's latest, if it is recent."""
         members = self.identity.members
         if leading:
             ages = [now - state.last_request_at for state in self.others.values() if state.is_reachable(now)]
@@ -94,7 +94,7 @@
         return Coverage(self.leader_coverage.reachable, members, oldest)
 
     def log_unreachable(self, now: float) -> None:
-        """Logs which members have become unreachable, or reachable again."""
+        """Logs the members that have become unreachable, or reachable again."""
         unreachable = {member for member, state in self.others.items() if not state.is_reachable(now)}
         for member in sorted(unreachable ^ self.unreachable):
             self.log(
@@ -103,7 +103,7 @@
         self.unreachable = unreachable
 
     def update_partition(self, now: float, granted_at: float) -> bool:
-        """Finds out whether this process is partitioned: no leader answered it for the length of a lease.
+        """Updates whether this process is partitioned: no leader has answered it for a lease duration.
 
         Returns whether that has changed.
         """
--- a/brambleplank/fleet/messages.py
+++ b/brambleplank/fleet/messages.py
@@ -1,8 +1,8 @@
 """Messages between the processes of a fleet, as datagrams of at most 256 bytes.
 
-A datagram is a format byte of 2 and one message in MessagePack, without the names of its fields. Formats of
-older releases begin with 1 or a letter; a process that knows only those ignores these datagrams. Amounts,
-terms and incarnations are whole numbers; ages are in milliseconds.
+A datagram is the format byte 2 and one message in MessagePack, as an array without field names. Formats of
+earlier releases begin with 1 or a letter; a process that knows only those ignores these datagrams. Amounts,
+terms and incarnations are non-negative integers; ages are in milliseconds.
 """
 
 from __future__ import annotations
@@ -16,43 +16,46 @@
 
 FORMAT_BYTE = 2  # the first byte of a datagram
 MAX_DATAGRAM = 256  # bytes, the limit of the platform
-MAX_NAME = 40  # characters of one part of a counted key
-MAX_SERVERS = 40  # servers named in one message; more take several
-CHUNK_SIZE = 200  # bytes of a text in one message
-MAX_REASON = 150  # characters of an objection
-MAX_COUNTS = 24  # in one message; more take several
-MAX_ALLOCATIONS = 10  # in one message, which holds them all
+MAX_NAME = 40  # characters of each part of a count key
+MAX_SERVERS = 40  # in one message; more are split over several
+CHUNK_SIZE = 200  # bytes of a text in one chunk
+MAX_REASON = 150  # characters of the reason for a rejection
+MAX_COUNTS = 24  # in one message; more are split over several
+MAX_ALLOCATIONS = 10  # in one message; they are never split
 UInt53 = Annotated[int, Meta(ge=0, le=2**53)]
 Tag = Annotated[int, Meta(ge=0, le=2**32 - 1)]
 Name = Annotated[str, Meta(max_length=3 * MAX_NAME + 2)]
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Base of all messages; the incarnation names the start of the sending process."""
+    """Base class of all messages. `incarnation` is that of the sending process."""
 
     incarnation: UInt53
 
 
 class Heartbeat(Message, tag=1, frozen=True):
-    """Sent to all members by the leader, by a candidate, or by a process that asks for pre-votes.
+    """Sent to all members by the leader, by a candidate, or by a process that requests pre-votes.
 
-    One that asks for pre-votes holds no support; its followers are free from their promises to it.
+    A process that requests pre-votes relies on no support, and releases its followers from their promises.
     """
 
     term: UInt53
-    sequence: UInt53  # of this heartbeat; members name it when they support the sender
+    sequence: UInt53  # of this heartbeat; a member that supports the sender refers to it
     is_leader: bool
-    reachable: UInt53  # members that the sender hears from, itself included; 0: neither leader nor candidate
-    oldest: UInt53  # ms since the least recent of them was heard from
+    reachable: UInt53  # members reachable from the sender, itself included; 0: neither leader nor candidate
+    oldest: UInt53  # ms since the last contact with the least recently reached of them
 
     @property
     def requests_pre_votes(self) -> bool:
-        """Never true of earlier releases, whose candidates need no pre-votes: they count themselves."""
+        """Whether the sender requests pre-votes.
+
+        Never true of earlier releases, whose candidates skip pre-votes: they count themselves as reachable.
+        """
         return not self.is_leader and self.reachable == 0
 
 
 class Allocation(msgspec.Struct, array_like=True, frozen=True):
-    """What the sender holds of one budget by lease, and how much it wants."""
+    """The units of one budget that the sender holds by lease, and the units that it wants."""
 
     budget: Tag
     held: UInt53
@@ -60,29 +63,29 @@
 
 
 class LeaseRequest(Message, tag=2, frozen=True):
-    """Sent to the leader or candidate that the sender follows: its support, and leases to be renewed.
+    """Sent to the leader or candidate that the sender follows, to support it and to renew leases.
 
-    In answer to a heartbeat that asks for pre-votes it is one, without support and allocations.
+    In reply to a request for pre-votes it is the pre-vote, without support or allocations.
     """
 
     sequence: UInt53  # of this request
-    recipient: UInt53  # the incarnation of the process that is asked
-    heartbeat: UInt53  # sequence of the newest heartbeat received from it
-    supports: bool  # the sender follows it, and no other process for the length of a lease
+    recipient: UInt53  # the recipient's incarnation
+    heartbeat: UInt53  # sequence of the newest heartbeat received from the recipient
+    supports: bool  # the sender follows the recipient, and no other process for a lease duration
     age: UInt53  # ms since the sender started
     term: UInt53  # the newest term that the sender has seen
     allocations: Annotated[list[Allocation], Meta(max_length=MAX_ALLOCATIONS)]
 
 
 class Lease(msgspec.Struct, array_like=True, frozen=True):
-    """How much of a budget may be used beside the reserve, for the length of a lease from the request on."""
+    """The units of a budget usable beside the reserve, for a lease duration from the request on."""
 
     budget: Tag
     amount: UInt53
 
 
 class LeaseGrant(Message, tag=3, frozen=True):
-    """The leader's answer to a lease request."""
+    """The leader's reply to a lease request."""
 
     recipient: UInt53  # the incarnation that sent the request
     request: UInt53  # sequence of the request
@@ -90,13 +93,13 @@
 
 
 class StaleIncarnation(Message, tag=4, frozen=True):
-    """Tells the recipient that a newer incarnation of its process is known: its clock was set back."""
+    """Informs the recipient that a newer incarnation of it is known, as after its clock was set back."""
 
     known: UInt53
 
 
 class Count(msgspec.Struct, array_like=True, frozen=True):
-    """Totals of one service type, customer and version: since the sender's start, or over the whole fleet."""
+    """Totals of one service type, customer and version, since the sender's start or over the whole fleet."""
 
     key: Name
     totals: Annotated[list[UInt53], Meta(min_length=5, max_length=5)]
@@ -115,11 +118,11 @@
 
 
 class ServerObservations(Message, tag=7, frozen=True):
-    """Sent to the leader: some of the servers that the sender tried lately, by the widest tags."""
+    """Sent to the leader: some of the servers that the sender tried recently, by their widest tags."""
 
     healthy: Annotated[list[Tag], Meta(max_length=MAX_SERVERS)]
     failing: Annotated[list[Tag], Meta(max_length=MAX_SERVERS)]
-    tried_total: UInt53  # also those that other messages name
+    tried_total: UInt53  # including servers in other messages
     failing_total: UInt53
 
 
@@ -138,11 +141,11 @@
     accepted: UInt53  # the newest version accepted and not yet in force; 0: none
     accepted_term: UInt53
     accepted_digest: UInt53
-    is_current: bool  # the sender has learnt since its start which version is in force
+    is_current: bool  # the sender has learned since its start which version is in force
 
 
 class VersionAnnouncement(Message, tag=10, frozen=True):
-    """Sent to all members by the leader: the version in force, and the one that is proposed."""
+    """Sent to all members by the leader: the version in force and the proposed one."""
 
     kind: UInt53
     sequence: UInt53  # of this announcement; 0: the sender is not the leader
@@ -154,7 +157,7 @@
 
 
 class ChunkRequest(Message, tag=11, frozen=True):
-    """Asks for chunks of a text that the sender lacks, from one index on."""
+    """Requests the chunks of a text that the sender lacks, from an index on."""
 
     digest: UInt53
     first: UInt53
@@ -181,7 +184,7 @@
 
 
 class PublishRequest(Message, tag=14, frozen=True):
-    """Asks the leader to publish a text in place of a version."""
+    """Requests that the leader publish a text in place of a version."""
 
     kind: UInt53
     digest: UInt53
@@ -219,7 +222,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """The datagram of a message. Raises DatagramError for one over the limit; its builder bounds its size."""
+    """Encodes a message as a datagram. Raises DatagramError if it is too long; callers bound its size."""
     data = bytes([FORMAT_BYTE]) + ENCODER.encode(message)
     if len(data) > MAX_DATAGRAM:
         raise DatagramError(f"{type(message).__name__} of {len(data)} bytes, {MAX_DATAGRAM} at most", "fleet")
@@ -227,9 +230,9 @@
 
 
 def decode(data: bytes) -> AnyMessage:
-    """The message of a datagram. Raises DatagramError if there is none in it."""
+    """Decodes the message in a datagram. Raises DatagramError if there is no valid one."""
     if not data or data[0] != FORMAT_BYTE or len(data) > MAX_DATAGRAM:
-        raise DatagramError(f"{len(data)} bytes of no form that is known", "fleet")
+        raise DatagramError(f"{len(data)} bytes of unknown format", "fleet")
     try:
         return DECODER.decode(data[1:])
     except (msgspec.DecodeError, RecursionError) as error:
--- a/brambleplank/fleet/reports.py
+++ b/brambleplank/fleet/reports.py
@@ -1,4 +1,4 @@
-"""Periodic reports: counts and observations of servers to the leader, and by it what they come to."""
+"""Periodic reports of counts and server observations to the leader, and the results that it publishes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Reports:
-    """What this process reports about requests and servers. `servers` gives the tags of the ready servers."""
+    """The periodic reports of this process. `servers` returns the tags of the ready servers."""
 
     def __init__(
         self,
@@ -37,14 +37,17 @@
         self.due_at = now + rng.uniform(0, HEARTBEAT_INTERVAL)
 
     def is_due(self, now: float) -> bool:
-        """Returns whether to report now; then the next report is due after about a heartbeat interval."""
+        """Returns whether a report is due; if so, schedules the next in about one heartbeat interval."""
         if now < self.due_at:
             return False
         self.due_at = now + HEARTBEAT_INTERVAL * self.rng.uniform(0.9, 1.1)
         return True
 
     def report(self, now: float, leader: int | None, leading: bool) -> None:
-        """Sends what has changed. A candidate keeps it, as it may soon be the one that adds it up."""
+        """Sends changes to the leader; as the leader, publishes to all members.
+
+        A candidate or leader records its changes locally, as a candidate may soon be the one to add them up.
+        """
         if self.election.candidacy.is_active:
             self.record_own_report(now)
         elif leader is not None:
@@ -53,7 +56,7 @@
             self.publish(now)
 
     def record_own_report(self, now: float) -> None:
-        """Takes this process's own report."""
+        """Records this process's counts and observations in the way of a received report."""
         number = self.identity.number
         self.counts.receive_report(number, self.identity.incarnation, self.counts.next_report())
         observations = self.server_observer.recent_observations(now)
--- a/brambleplank/fleet/server_observations.py
+++ b/brambleplank/fleet/server_observations.py
@@ -1,10 +1,10 @@
-"""Judgements on servers by several members: which ones this process avoids though it has not tried them.
+"""Server ejections by several members, which protect a process from servers that it has not tried itself.
 
-A server is ejected only if several members that tried it lately found it failing, and most of those that
-tried it; at most a stated share of the servers at once, the worst first. A member that finds most servers
-failing has a network that is ill, and counts for nothing. Own success goes before the word of others, and all
-of it expires. A judgement never makes a server more eligible: it adds to what the endpoint list and the
-decisions hold against it.
+A server is ejected only if several members that tried it recently found it failing, and these are more than
+two thirds of all that tried it; and only a fixed share of the servers at once, those with most reports first.
+A member that finds most servers failing probably has network trouble of its own and is disregarded. A recent
+success of this process overrides other members' reports, and all observations expire. An ejection never makes
+a server more eligible: it adds to the exclusions by the endpoint list and by the decisions.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 from brambleplank.fleet.leases.timing import HEARTBEAT_INTERVAL
 
-OBSERVATION_LIFETIME = 8.0  # seconds for which an attempt counts
-FAILURES_TO_REPORT = 3  # failed in a row, before a server is reported as failing
-MIN_REPORTERS = 2  # members at least that must find it failing
+OBSERVATION_LIFETIME = 8.0  # seconds for which an attempt or report counts
+FAILURES_TO_REPORT = 3  # consecutive failures before a server is reported as failing
+MIN_REPORTERS = 2  # members that must report a server as failing before it is ejected
 MAX_EJECTED_SHARE = 1 / 5  # share of the servers that may be ejected at once, rounded down
-EJECTION_DURATION = 3 * HEARTBEAT_INTERVAL  # seconds that an ejection holds
-MAX_SERVERS = 1024  # of which attempts and ejections are kept, and reports of each member
-MAX_REPORT_MESSAGES = 4  # messages of one report; 1,024 servers are all reported within the lifetime
+EJECTION_DURATION = 3 * HEARTBEAT_INTERVAL  # seconds until an ejection expires
+MAX_SERVERS = 1024  # servers with attempts or ejections kept; also the reports kept of each member
+MAX_REPORT_MESSAGES = 4  # per report; 1,024 servers are all reported within OBSERVATION_LIFETIME
 NEVER = float("-inf")
 
 
@@ -34,43 +34,43 @@
 
     @property
     def total(self) -> int:
-        """How many servers were tried."""
+        """The number of servers that were tried."""
         return len(self.healthy) + len(self.failing)
 
 
 @dataclass
 class ServerAttempts:
-    """What this process met at one server."""
+    """Recent results of this process at one server."""
 
-    consecutive_failures: int = 0  # in a row, lately
+    consecutive_failures: int = 0
     last_success_at: float = NEVER
     last_attempt_at: float = NEVER
 
 
 @dataclass(frozen=True)
 class Report:
-    """What one message of a member said of some of the servers that it tried."""
+    """One message of a member, about some of the servers that it tried."""
 
     received_at: float
     healthy: frozenset[int]
     failing: frozenset[int]
 
     def __len__(self) -> int:
-        """Returns how many servers it names."""
+        """Returns the number of servers in the report."""
         return len(self.healthy) + len(self.failing)
 
 
 @dataclass
 class MemberReports:
-    """What one member reported lately, in as many reports as its servers take, oldest first."""
+    """Recent reports of one member, as many as cover its servers, oldest first."""
 
     reports: deque[Report] = field(default_factory=lambda: deque(maxlen=MAX_SERVERS))
     reports_most_failing: bool = False
 
     def add(self, report: Report, tried_total: int) -> None:
-        """Adds a report, and drops old ones.
+        """Adds a report, and drops the old ones that later ones replace.
 
-        A member that has tried so many servers in all reports each of them once before any again.
+        A member that has tried `tried_total` servers reports each of them once before it repeats any.
         """
         self.reports.append(report)
         named = sum(map(len, self.reports))
@@ -78,7 +78,7 @@
             named -= len(self.reports.popleft())
 
     def recent_results(self, now: float, servers: frozenset[int]) -> dict[int, bool]:
-        """Returns which of these servers it found healthy (True) or failing lately."""
+        """Returns which of these servers the member recently found healthy (True) or failing (False)."""
         results: dict[int, bool] = {}
         for report in self.reports:
             if now < report.received_at + OBSERVATION_LIFETIME:
@@ -89,15 +89,15 @@
 
 @dataclass
 class ServerObserver:
-    """This process's own attempts, the reports of members, and the ejections that hold here."""
+    """This process's own attempts, the reports of members, and the ejections in force here."""
 
-    attempts: dict[int, ServerAttempts] = field(default_factory=dict)  # by tag, longest ago first
+    attempts: dict[int, ServerAttempts] = field(default_factory=dict)  # by tag, least recently tried first
     members: dict[int, MemberReports] = field(default_factory=dict)
     ejected_until: dict[int, float] = field(default_factory=dict)  # by tag
-    unreported: list[int] = field(default_factory=list)  # servers to report before any is reported again
+    unreported: list[int] = field(default_factory=list)  # servers left to report before any is repeated
 
     def record_attempt(self, now: float, tag: int, succeeded: bool) -> None:
-        """Notes how an attempt at a server ended."""
+        """Records the result of an attempt at a server."""
         attempts = self.attempts.pop(tag, None) or ServerAttempts()
         if now >= attempts.last_attempt_at + OBSERVATION_LIFETIME:
             attempts.consecutive_failures = 0
@@ -112,7 +112,7 @@
             del self.attempts[next(iter(self.attempts))]
 
     def recent_observations(self, now: float) -> Observations:
-        """Returns the servers that this process found healthy and failing lately."""
+        """Returns the servers that this process recently found healthy or failing."""
         recent = {
             tag: attempts
             for tag, attempts in self.attempts.items()
@@ -125,7 +125,7 @@
         return Observations(healthy, failing)
 
     def next_reports(self, now: float, size: int) -> list[Observations]:
-        """Returns the next servers to report, in turn, at most so many in each message."""
+        """Returns the next servers to report, in turn, at most `size` in each message."""
         observations = self.recent_observations(now)
         healthy = set(observations.healthy)
         failing = set(observations.failing)
@@ -143,14 +143,14 @@
     def receive_observations(
         self, now: float, sender: int, observations: Observations, tried_total: int, failing_total: int
     ) -> None:
-        """Takes what a member found, of so many servers tried and so many of them failing."""
+        """Records a member's observations, and how many servers in all it tried and found failing."""
         member = self.members.setdefault(sender, MemberReports())
         report = Report(now, frozenset(observations.healthy), frozenset(observations.failing))
         member.add(report, tried_total)
         member.reports_most_failing = 2 * failing_total > tried_total
 
     def servers_to_eject(self, now: float, servers: int) -> list[int]:
-        """Returns the servers that several members find failing, of so many in all; for the leader."""
+        """Returns the servers that the leader should eject, given the number of ready servers."""
         members = [member for member in self.members.values() if not member.reports_most_failing]
         suspects = frozenset(tag for member in members for report in member.reports for tag in report.failing)
         if not suspects:
@@ -167,23 +167,23 @@
         return to_eject[: int(MAX_EJECTED_SHARE * servers)]
 
     def receive_ejections(self, now: float, tags: Iterable[int]) -> None:
-        """Takes the leader's ejections."""
+        """Records the leader's ejections."""
         self.ejected_until = {tag: until for tag, until in self.ejected_until.items() if now < until}
         for tag in tags:
-            # A member that lies would fill the memory.
+            # The number is bounded, as a faulty leader could exhaust the memory.
             if tag in self.ejected_until or len(self.ejected_until) < MAX_SERVERS:
                 self.ejected_until[tag] = now + EJECTION_DURATION
 
     def ejected_servers(self, now: float, servers: list[int]) -> list[int]:
-        """Returns which of these servers are ejected by the word of others.
+        """Returns which of these servers are ejected because of other members' reports.
 
-        The ceiling is applied here as well, as a faulty leader could name all of them.
+        The limit is applied here as well, as a faulty leader could eject all servers.
         """
         ejected = [tag for tag in servers if self.is_ejected(now, tag)]
         return ejected[: int(MAX_EJECTED_SHARE * len(servers))]
 
     def is_ejected(self, now: float, tag: int) -> bool:
-        """Returns whether a server is ejected, and this process did not succeed there lately."""
+        """Returns whether a server is ejected and this process has had no recent success there."""
         attempts = self.attempts.get(tag)
         if attempts is not None and now < attempts.last_success_at + OBSERVATION_LIFETIME:
             return False
--- a/brambleplank/fleet/shapes.py
+++ b/brambleplank/fleet/shapes.py
@@ -1,6 +1,6 @@
-"""The table `fleet` of a file: who the members are, and the budgets that they share. Free of I/O.
+"""The table `fleet` of a configuration file: the members and the budgets that they share. Performs no I/O.
 
-The sidecar's TOML and the platform's JSON hold the same keys; the platform's members are its `peers`.
+The sidecar's TOML and the platform's JSON have the same keys; on the platform, the members are its `peers`.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from brambleplank.fleet.leases.budgets import Budget
 
-REQUEST_BUDGETS = ("flows", "connections")  # kinds of budgets that a flow is served under
-MAX_BUDGETS = 10  # so that one lease request holds them all
+REQUEST_BUDGETS = ("flows", "connections")  # kinds of budgets that each request needs units of
+MAX_BUDGETS = 10  # as one lease request holds all of them
 
 
 class BudgetTable(msgspec.Struct, forbid_unknown_fields=True):
@@ -94,17 +94,17 @@
 
 @dataclass(frozen=True)
 class FleetSettings:
-    """What the configuration says of a process's fleet."""
+    """The fleet settings of one process."""
 
     number: int  # of this process
     members: int
     table: Fleet
-    addresses: tuple[Address, ...] = ()  # of all members, where the table names them
+    addresses: tuple[Address, ...] = ()  # of all members, if the table lists them
     listen: Address | None = None
-    routes: str = ""  # the path of its file of rules, where there is one
+    routes: str = ""  # path of the rules file, if there is one
 
     def budgets(self) -> list[Budget]:
-        """Returns the budgets of the table. What only a fleet needs is imported only here."""
+        """Returns the budgets of the table. Imports the class here, as only processes in a fleet need it."""
         from brambleplank.fleet.leases.budgets import Budget
 
         return [
@@ -120,7 +120,7 @@
     customers: Collection[str],
     at: KeyPath,
 ) -> None:
-    """Adds every fault of the budgets to the reading; customers are checked where any are named."""
+    """Reports all faults of the budgets. Customers are checked only if any are configured."""
     if len(table.budget) > MAX_BUDGETS:
         reading.add_fault((*at, "budget"), f"{len(table.budget)} budgets", f"keep {MAX_BUDGETS} at most")
     for n, budget in enumerate(table.budget):
@@ -145,10 +145,10 @@
     customers: Collection[str],
     where: KeyPath,
 ) -> None:
-    """Adds a fault for each name of a budget that is taken already, or is not known."""
+    """Reports a budget name that is empty or a duplicate, and an unknown service type or customer."""
     if not budget.name or any(budget.name == other.name for other in earlier):
         reading.add_fault(
-            (*where, "name"), f'"{budget.name}" is empty or there twice', "write each name once"
+            (*where, "name"), f'"{budget.name}" is empty or used twice', "give each budget its own name"
         )
     if budget.service_type and budget.service_type not in service_types:
         reading.add_fault(
@@ -163,14 +163,14 @@
 
 
 def check_scope(reading: DocumentReader, budget: BudgetTable, where: KeyPath) -> None:
-    """Adds a fault for a service type or customer of a budget that is for all."""
+    """Reports a service type or customer in a budget that covers all requests."""
     for key in ("service_type", "customer"):
         if getattr(budget, key) and budget.of in ("away", "moves"):
             reading.add_fault((*where, key), f"a budget of {budget.of} has none", "leave it out")
 
 
 def check_window(reading: DocumentReader, budget: BudgetTable, where: KeyPath) -> None:
-    """Adds a fault for a window that is missing, or is there though open connections are counted."""
+    """Reports a window that is missing, or that a budget of open connections has."""
     at = (*where, "window")
     if budget.of == "connections" and budget.window is not None:
         reading.add_fault(at, "connections that stand have no window", "leave it out")
@@ -179,28 +179,28 @@
 
 
 def check_members(reading: DocumentReader, table: Fleet, sidecars: int, at: KeyPath) -> None:
-    """Adds every fault of the members, where they are named in the table itself."""
+    """Reports all faults of the members and the listen address in the table itself."""
     if len(table.members) != sidecars:
         reading.add_fault(
             (*at, "members"),
             f"{len(table.members)} members, but sidecars = {sidecars}",
-            "name every sidecar, in the order of their numbers",
+            "list every sidecar, in the order of their numbers",
         )
     found = [addresses.read(text) for text in table.members]
     for n, (text, address) in enumerate(zip(table.members, found, strict=True)):
         if address is None or address in found[:n]:
             reading.add_fault(
-                (*at, "members", n), f'"{text}" is no address, or there twice', "write each once"
+                (*at, "members", n), f'"{text}" is not an address or is a duplicate', "list each once"
             )
     if addresses.read(table.listen) is None:
         reading.add_fault(
-            (*at, "listen"), f'"{table.listen}" is no address', 'write one like "127.0.0.1:7500"'
+            (*at, "listen"), f'"{table.listen}" is not an address', 'write one like "127.0.0.1:7500"'
         )
 
 
 def decode_fleet_settings(table: Fleet, number: int, members: int, folder: str) -> FleetSettings:
-    """Returns what a table without fault says, in a file of that folder."""
-    # A Path would change how log lines show it.
+    """Returns the settings in a valid table. `folder` is that of its file."""
+    # pathlib would normalise the path, and so change log lines that contain it.
     routes = os.path.join(folder, table.routes) if table.routes else ""  # noqa: PTH118
     parsed = tuple(address for text in table.members if (address := addresses.read(text)))
     listen = addresses.read(table.listen) if table.listen else None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -304,7 +304,7 @@
         try:
             node.fleet.receive_datagram(0.0, 1, datagram)
         except DatagramError as error:
-            assert "nothing was taken up" in error.with_advice()
+            assert "the datagram was dropped" in error.with_advice()
 
 
 def test_start_with_clock_set_back_begins_anew() -> None:
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -388,5 +388,7 @@
         simulation.run(0.5)
     simulation.steps[0].append(0)
     simulation.run(0.5)
-    logged = [line for line in simulation.nodes[0].log_lines if "step of maps v1: 0 after 1" in line]
+    logged = [
+        line for line in simulation.nodes[0].log_lines if "step of maps v1: decreased to 0 from 1" in line
+    ]
     assert len(logged) == 1
