--- a/tests/process_fleet.py
+++ b/tests/process_fleet.py
@@ -101,14 +101,14 @@
         self.servers = [StandInServer() for _ in range(servers)]
         self.servers += [StandInServer("") for _ in range(failing_servers)]
         addresses = {f"s{n}": server.address for n, server in enumerate(self.servers)}
-        known = endpoint_list(41, True, **addresses)
+        endpoints = endpoint_list(41, True, **addresses)
         limits = {**PLATFORM_SETTINGS["policy_limits"], "peers": True}
-        kind = MemberProcess if started else DelayedMemberProcess
+        process_class = MemberProcess if started else DelayedMemberProcess
         self.members: list[MemberProcess] = []
         self.extra_processes: list[subprocess.Popen[str]] = []
         for number in range(members):
-            home = folder / f"n{number}"
-            home.mkdir()
+            member_folder = folder / f"n{number}"
+            member_folder.mkdir()
             peers, peers_all = self.relay.peer_addresses(number)
             settings = {
                 **PLATFORM_SETTINGS,
@@ -117,9 +117,9 @@
                 "policy_limits": limits,
             }
             self.members.append(
-                kind(
-                    home,
-                    known,
+                process_class(
+                    member_folder,
+                    endpoints,
                     patch,
                     settings=settings,
                     peers=peers,
@@ -171,5 +171,5 @@
 
 def budget_table(limit: int, window: float = 0.0, **more: Any) -> dict[str, Any]:
     """Returns a budget of the fleet's table: of flows in a window of so many seconds, or of connections."""
-    timed = {"of": "flows", "window": f"{round(window * 1000)}ms"} if window else {"of": "connections"}
-    return {"name": "all", "limit": limit, "reserve": 0.2, **timed, **more}
+    kind = {"of": "flows", "window": f"{round(window * 1000)}ms"} if window else {"of": "connections"}
+    return {"name": "all", "limit": limit, "reserve": 0.2, **kind, **more}
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -12,11 +12,11 @@
 from brambleplank.fleet.messages import Heartbeat
 
 SEEDS = range(60)
-MOST_TO_REPLACE = 3 * LEASE_DURATION  # from a leader's fault until another leads
-MOST_WITHOUT = 2.5 * LEASE_DURATION  # on end without a leader
-MEAN_TO_REPLACE = 1.5 * LEASE_DURATION
-MEAN_WITHOUT = 1.0 * LEASE_DURATION
-OF_THE_LEADER = [fault for fault in FAULTS if "leader" in fault]
+MAX_REPLACEMENT_TIME = 3 * LEASE_DURATION  # from a leader's fault until another leads
+MAX_LEADERLESS_TIME = 2.5 * LEASE_DURATION  # on end without a leader
+MAX_MEAN_REPLACEMENT_TIME = 1.5 * LEASE_DURATION
+MAX_MEAN_LEADERLESS_TIME = 1.0 * LEASE_DURATION
+LEADER_FAULTS = [fault for fault in FAULTS if "leader" in fault]
 
 
 def mean(times: list[float]) -> float:
@@ -26,83 +26,87 @@
 @pytest.mark.parametrize("loss", LOSSES)
 @pytest.mark.parametrize("fault", FAULTS)
 def test_time_without_a_leader_is_bounded(fault: str, loss: float) -> None:
-    plays: dict[int, Play] = {seed: play(seed, fault, Links(loss)) for seed in SEEDS}
-    late = {seed: found for seed, found in plays.items() if found.longest > MOST_WITHOUT}
-    assert not late and mean([found.longest for found in plays.values()]) <= MEAN_WITHOUT
-    if fault in OF_THE_LEADER:
-        late = {seed: found for seed, found in plays.items() if found.replaced > MOST_TO_REPLACE}
-        assert not late and mean([found.replaced for found in plays.values()]) <= MEAN_TO_REPLACE
+    results: dict[int, Play] = {seed: play(seed, fault, Links(loss)) for seed in SEEDS}
+    late = {seed: result for seed, result in results.items() if result.longest > MAX_LEADERLESS_TIME}
+    assert not late and mean([result.longest for result in results.values()]) <= MAX_MEAN_LEADERLESS_TIME
+    if fault in LEADER_FAULTS:
+        late = {seed: result for seed, result in results.items() if result.replaced > MAX_REPLACEMENT_TIME}
+        assert (
+            not late and mean([result.replaced for result in results.values()]) <= MAX_MEAN_REPLACEMENT_TIME
+        )
     elif loss <= 0.1:
         assert not [
-            seed for seed, found in plays.items() if found.absent
+            seed for seed, result in results.items() if result.absent
         ]  # nobody unseats a leader that is heard
 
 
-def question(number: int) -> Heartbeat:
+def pre_vote_request(number: int) -> Heartbeat:
     return Heartbeat(1, 0, number, False, 0, 0)
 
 
-def candidacy(number: int) -> Heartbeat:
+def candidate_heartbeat(number: int) -> Heartbeat:
     return Heartbeat(1, 1, number, False, 1, 0)
 
 
-def member(number: int = 0, now: float = 100.0) -> LeaderElection:
+def idle_election(number: int = 0, now: float = 100.0) -> LeaderElection:
     """One whose start is long over."""
-    made = LeaderElection(number, 3, 1, now - 2 * LEASE_DURATION, Random(1))
-    made.election_at = float("inf")
-    return made
+    election = LeaderElection(number, 3, 1, now - 2 * LEASE_DURATION, Random(1))
+    election.election_at = float("inf")
+    return election
 
 
 def test_pre_vote_binds_nobody_and_needs_a_free_member() -> None:
-    one = member()
-    assert one.receive_heartbeat(100.0, 1, question(1)) and one.receive_heartbeat(100.0, 2, question(1))
-    assert one.leader is None and not one.supports_leader(100.0)
-    one.receive_heartbeat(100.1, 2, candidacy(2))
-    assert one.supports_leader(100.1) and not one.receive_heartbeat(100.2, 1, question(2))
-    assert one.supports_leader(100.2)
+    election = idle_election()
+    assert election.receive_heartbeat(100.0, 1, pre_vote_request(1)) and election.receive_heartbeat(
+        100.0, 2, pre_vote_request(1)
+    )
+    assert election.leader is None and not election.supports_leader(100.0)
+    election.receive_heartbeat(100.1, 2, candidate_heartbeat(2))
+    assert election.supports_leader(100.1) and not election.receive_heartbeat(100.2, 1, pre_vote_request(2))
+    assert election.supports_leader(100.2)
 
 
 def test_promise_ends_with_lease_or_step_down_only() -> None:
     """A late pre-vote request of its own leader does not end it."""
-    one = member()
-    one.receive_heartbeat(100.0, 1, candidacy(5))
-    assert not one.receive_heartbeat(100.1, 1, question(4)) and one.supports_leader(100.1)
-    assert one.receive_heartbeat(100.2, 1, question(6)) and not one.supports_leader(100.2)
-    one.receive_heartbeat(100.3, 1, candidacy(5))  # sent before it stepped down
-    assert not one.supports_leader(100.3)
-    one.receive_heartbeat(100.4, 2, candidacy(1))
-    assert one.supports_leader(100.4 + LEASE_DURATION) and not one.supports_leader(
+    election = idle_election()
+    election.receive_heartbeat(100.0, 1, candidate_heartbeat(5))
+    assert not election.receive_heartbeat(100.1, 1, pre_vote_request(4)) and election.supports_leader(100.1)
+    assert election.receive_heartbeat(100.2, 1, pre_vote_request(6)) and not election.supports_leader(100.2)
+    election.receive_heartbeat(100.3, 1, candidate_heartbeat(5))  # sent before it stepped down
+    assert not election.supports_leader(100.3)
+    election.receive_heartbeat(100.4, 2, candidate_heartbeat(1))
+    assert election.supports_leader(100.4 + LEASE_DURATION) and not election.supports_leader(
         100.4 + LEASE_DURATION * GRANTER_CLOCK_FACTOR
     )
 
 
-def beats(of: LeaderElection, now: float, seconds: float) -> list[DueHeartbeat]:
+def due_heartbeats(election: LeaderElection, now: float, seconds: float) -> list[DueHeartbeat]:
     times = [now + 0.1 * n for n in range(int(10 * seconds))]
-    return [due for at in times if (due := of.due_heartbeat(at)) is not None]
+    return [due for at in times if (due := election.due_heartbeat(at)) is not None]
 
 
 def test_member_without_pre_votes_never_becomes_candidate() -> None:
-    one = member()
-    one.election_at = 0.0
-    sent = beats(one, 100.0, 60.0)
-    assert len(sent) >= 50 and not any(due.is_candidate for due in sent) and not one.newest_term
+    election = idle_election()
+    election.election_at = 0.0
+    sent = due_heartbeats(election, 100.0, 60.0)
+    assert len(sent) >= 50 and not any(due.is_candidate for due in sent) and not election.newest_term
 
 
 def test_leader_without_majority_steps_down() -> None:
     """It tells its followers, and counts no late support."""
-    one = member()
-    one.election_at = 0.0
-    asked = one.due_heartbeat(100.0)
-    assert asked is not None
-    one.receive_pre_vote(1, asked.sequence)
-    candidacy_heartbeat = one.due_heartbeat(100.2)
-    assert candidacy_heartbeat is not None and candidacy_heartbeat.is_candidate
-    one.receive_support(100.3, 1, candidacy_heartbeat.sequence)
-    assert one.is_leader(100.3)
-    sent = beats(one, 100.4, 2 * LEASE_DURATION)
-    last = max(due.sequence for due in sent if due.is_candidate)
-    stepped_down = [due for due in sent if due.sequence > last]
-    assert len(stepped_down) >= 3 and not one.candidacy.is_active
-    one.receive_support(100.4 + 2 * LEASE_DURATION, 1, last)
-    one.receive_support(100.4 + 2 * LEASE_DURATION, 2, last)
-    assert not one.is_leader(100.4 + 2 * LEASE_DURATION) and not one.candidacy.supporters
+    election = idle_election()
+    election.election_at = 0.0
+    request = election.due_heartbeat(100.0)
+    assert request is not None
+    election.receive_pre_vote(1, request.sequence)
+    heartbeat = election.due_heartbeat(100.2)
+    assert heartbeat is not None and heartbeat.is_candidate
+    election.receive_support(100.3, 1, heartbeat.sequence)
+    assert election.is_leader(100.3)
+    sent = due_heartbeats(election, 100.4, 2 * LEASE_DURATION)
+    last_sequence = max(due.sequence for due in sent if due.is_candidate)
+    releases = [due for due in sent if due.sequence > last_sequence]
+    assert len(releases) >= 3 and not election.candidacy.is_active
+    election.receive_support(100.4 + 2 * LEASE_DURATION, 1, last_sequence)
+    election.receive_support(100.4 + 2 * LEASE_DURATION, 2, last_sequence)
+    assert not election.is_leader(100.4 + 2 * LEASE_DURATION) and not election.candidacy.supporters
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,23 +24,23 @@
 from brambleplank.fleet.leases.ledger import Ledger
 
 
-def simulation_of(seed: int, members: int = 0) -> tuple[FleetSimulation, Random]:
-    act = Random(seed)
-    members = members or act.choice([2, 3, 3, 5, 7])
+def random_simulation(seed: int, members: int = 0) -> tuple[FleetSimulation, Random]:
+    rng = Random(seed)
+    members = members or rng.choice([2, 3, 3, 5, 7])
     wanted = [
-        Budget("rate", act.choice([10, 40, 200]), act.choice([2.0, 8.0]), members, act.choice([0.03, 0.3])),
-        Budget("count", act.choice([10, 50]), 0.0, members, act.choice([0.03, 0.3])),
+        Budget("rate", rng.choice([10, 40, 200]), rng.choice([2.0, 8.0]), members, rng.choice([0.03, 0.3])),
+        Budget("count", rng.choice([10, 50]), 0.0, members, rng.choice([0.03, 0.3])),
     ]
-    return FleetSimulation(members, wanted, seed), act
+    return FleetSimulation(members, wanted, seed), rng
 
 
-def play(seed: int, steps: int = 12) -> None:
+def simulate(seed: int, steps: int = 12) -> None:
     """Raises InvariantError; a line of a member that broke is one as well."""
-    simulation, act = simulation_of(seed)
+    simulation, rng = random_simulation(seed)
     if seed % 25:
-        play_random_faults(simulation, steps, act)
+        play_random_faults(simulation, steps, rng)
     else:
-        play_leadership_contests(simulation, act)
+        play_leadership_contests(simulation, rng)
     for node in simulation.nodes:
         for line in node.log_lines:
             if "report" in line:
@@ -52,12 +52,12 @@
     """No window, no instant holds more than its budget, whatever fails."""
     for seed in range(first, first + 150):
         try:
-            play(seed)
+            simulate(seed)
         except InvariantError as broken:
-            raise AssertionError(f"play({seed})") from broken
+            raise AssertionError(f"simulate({seed})") from broken
 
 
-class Machine(RuleBasedStateMachine):
+class FleetStateMachine(RuleBasedStateMachine):
     """The same, found and made smaller by Hypothesis."""
 
     def __init__(self) -> None:
@@ -66,58 +66,59 @@
         self.simulation = FleetSimulation(3, wanted, 1)
         self.simulation.run(15)
 
-    which = st.integers(0, 2)
+    members = st.integers(0, 2)
 
-    @rule(n=which, again=st.booleans())
+    @rule(n=members, again=st.booleans())
     def kill(self, n: int, again: bool) -> None:
         self.simulation.kill(self.simulation.nodes[n])
         if again:
             self.start(n)
 
-    @rule(n=which)
+    @rule(n=members)
     def start(self, n: int) -> None:
         if self.simulation.nodes[n].fleet is None:
             self.simulation.start(self.simulation.nodes[n])
 
-    @rule(n=which, seconds=st.sampled_from([1, 5, 9]))
+    @rule(n=members, seconds=st.sampled_from([1, 5, 9]))
     def stall(self, n: int, seconds: float) -> None:
         self.simulation.stall(self.simulation.nodes[n], seconds)
 
-    @rule(one=which, other=which)
-    def cut(self, one: int, other: int) -> None:
-        self.simulation.links.cut.add((one, other))
+    @rule(from_member=members, to_member=members)
+    def cut(self, from_member: int, to_member: int) -> None:
+        self.simulation.links.cut.add((from_member, to_member))
 
     @rule()
     def heal(self) -> None:
         self.simulation.links.cut.clear()
 
-    @rule(n=which, seconds=st.sampled_from([0.1, 1, 4, 10]), name=st.sampled_from(["rate", "count"]))
+    @rule(n=members, seconds=st.sampled_from([0.1, 1, 4, 10]), name=st.sampled_from(["rate", "count"]))
     def use(self, n: int, seconds: float, name: str) -> None:
         for _ in range(20):
             self.simulation.run(seconds / 20)
             self.simulation.take(self.simulation.nodes[n], name)
 
     @invariant()
-    def nobody_broke(self) -> None:
+    def no_invariant_is_violated(self) -> None:
         assert not [line for node in self.simulation.nodes for line in node.log_lines if "report" in line]
 
 
 def test_budgets_hold_under_hypothesis_schedules() -> None:
     run_state_machine_as_test(
-        Machine, settings=settings(max_examples=60, stateful_step_count=20, deadline=None, derandomize=True)
+        FleetStateMachine,
+        settings=settings(max_examples=60, stateful_step_count=20, deadline=None, derandomize=True),
     )
 
 
-def changed(of: Any, old: str, new: str) -> Any:
+def with_source_replaced(function: Any, old: str, new: str) -> Any:
     """A function with a part of its text in another way."""
-    text = textwrap.dedent(inspect.getsource(of))
+    text = textwrap.dedent(inspect.getsource(function))
     assert old in text
-    scope = dict(inspect.getmodule(of).__dict__)
+    scope = dict(inspect.getmodule(function).__dict__)
     exec(text.replace(old, new), scope)  # the fault that is put in on purpose
-    return scope[of.__name__]
+    return scope[function.__name__]
 
 
-def holder_is_killed(seed: int) -> None:
+def kill_holder_of_whole_count(seed: int) -> None:
     """All of a count stands at one process, which is killed and starts anew; the others want all of it."""
     simulation = FleetSimulation(3, [Budget("count", 100, 0.0, 3)], seed)
     simulation.run(20)
@@ -192,25 +193,25 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_injected_fault_is_caught(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    of, names, old, new = FAULTS[fault]
-    for name in names.split():
-        monkeypatch.setattr(of, name, changed(getattr(of, name), old, new))
+    owner, methods, old, new = FAULTS[fault]
+    for method in methods.split():
+        monkeypatch.setattr(owner, method, with_source_replaced(getattr(owner, method), old, new))
     # A fault that a few plays in a hundred meet; which seeds do so changes with each change of the schedule.
-    seeds = [25 * n for n in range(40)] if of in (LeaderElection, Candidacy) else range(1, 300)
+    seeds = [25 * n for n in range(40)] if owner in (LeaderElection, Candidacy) else range(1, 300)
     with pytest.raises(InvariantError):
         for seed in seeds:
-            play(seed, 30)
+            simulate(seed, 30)
 
 
 def test_units_of_killed_process_are_not_leased_before_expiry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for seed in range(10):
-        holder_is_killed(seed)
+        kill_holder_of_whole_count(seed)
     monkeypatch.setattr(budgets, "CONNECTION_EXPIRY", 0.0)
     with pytest.raises(InvariantError):
         for seed in range(10):
-            holder_is_killed(seed)
+            kill_holder_of_whole_count(seed)
 
 
 def test_budget_use_at_one_member_and_in_a_partition() -> None:
@@ -232,22 +233,22 @@
     assert use(1, 20) >= 0.95
     leader = simulation.leader()
     assert leader is not None and "out of the dark" in leader.log_lines[-1]
-    few = {leader.number, (leader.number + 1) % 5}
-    simulation.cut(few, set(range(5)) - few)
-    many = (leader.number + 2) % 5
-    use(many, 20)
-    assert use(many, 10) >= 0.8
+    minority = {leader.number, (leader.number + 1) % 5}
+    simulation.cut(minority, set(range(5)) - minority)
+    majority_member = (leader.number + 2) % 5
+    use(majority_member, 20)
+    assert use(majority_member, 10) >= 0.8
     assert use(leader.number, 10) * budget.limit <= 2 * budget.reserve(leader.number) + 1
     assert (
         "fleet: partitioned (in the dark)" in leader.log_lines[-1] or "stepped down" in leader.log_lines[-1]
     )
-    fleet_of = simulation.nodes[leader.number].fleet
-    assert fleet_of and str(fleet_of.coverage(simulation.clock(leader))).startswith("1 of 5 heard")
+    leader_fleet = simulation.nodes[leader.number].fleet
+    assert leader_fleet and str(leader_fleet.coverage(simulation.clock(leader))).startswith("1 of 5 heard")
     simulation.links.cut.clear()
     simulation.run(15)
     assert use(leader.number, 10) >= 0.8 and simulation.peak_use["rate"] <= budget.limit
     assert "fleet: partition over (out of the dark): " in leader.log_lines[-1]
-    assert str(fleet_of.coverage(simulation.clock(leader))).startswith("5 of 5 heard")
+    assert str(leader_fleet.coverage(simulation.clock(leader))).startswith("5 of 5 heard")
 
 
 def test_member_whose_requests_were_lost_for_two_hours_gets_leases_again() -> None:
@@ -277,10 +278,10 @@
         assert deaf is not None
         simulation.links.cut = {(n, deaf.number) for n in range(5)}
         simulation.run(20)
-        serving = simulation.leader()
-        assert serving is not None and serving is not deaf
+        new_leader = simulation.leader()
+        assert new_leader is not None and new_leader is not deaf
         simulation.run(40)
-        assert simulation.leader() is serving
+        assert simulation.leader() is new_leader
 
 
 @given(st.lists(st.floats(0.01, 3), max_size=60), st.floats(0.1, 9))
--- a/tests/test_fleet_reports.py
+++ b/tests/test_fleet_reports.py
@@ -34,30 +34,30 @@
     """Over restarts, and lost and repeated reports."""
     leader_counts = Counts()
     reports: list[tuple[int, int, list[messages.Count]]] = []  # member, incarnation, counts
-    truth = 0
-    starts = {who: (1, Counts()) for who in range(3)}
+    true_count = 0
+    processes = {member: (1, Counts()) for member in range(3)}
     aggregates = [0]
     for _ in range(60):
-        who = rng.randrange(3)
-        incarnation, own = starts[who]
+        member = rng.randrange(3)
+        incarnation, own = processes[member]
         if rng.random() < 0.1:
-            starts[who] = incarnation + 1, Counts()
+            processes[member] = incarnation + 1, Counts()
             continue
         own.increment(CountKind.SERVED, "feed", "acme", "")
-        truth += 1
-        reports.append((who, incarnation, own.next_report()))
-        arriving = [reports[-1]] if rng.random() < 0.6 else rng.sample(reports, min(2, len(reports)))
-        for report in arriving:
+        true_count += 1
+        reports.append((member, incarnation, own.next_report()))
+        delivered = [reports[-1]] if rng.random() < 0.6 else rng.sample(reports, min(2, len(reports)))
+        for report in delivered:
             if report[1] >= max(
                 (started for sender, started, _ in reports if sender == report[0]), default=0
             ):
                 leader_counts.receive_report(*report)
         aggregates.append(leader_counts.fleet.get("feed/acme/", [0] * 5)[CountKind.SERVED])
-    assert aggregates == sorted(aggregates) and aggregates[-1] <= truth
-    for who, (incarnation, own) in starts.items():
+    assert aggregates == sorted(aggregates) and aggregates[-1] <= true_count
+    for member, (incarnation, own) in processes.items():
         own.unreported.update(dict.fromkeys(own.own))
-        leader_counts.receive_report(who, incarnation, own.next_report())
-    assert leader_counts.fleet.get("feed/acme/", [0] * 5)[CountKind.SERVED] <= truth
+        leader_counts.receive_report(member, incarnation, own.next_report())
+    assert leader_counts.fleet.get("feed/acme/", [0] * 5)[CountKind.SERVED] <= true_count
 
 
 def test_keys_beyond_the_limit_count_as_other() -> None:
@@ -72,9 +72,9 @@
 
 
 def members_report(observer: ServerObserver, now: float, **reports: tuple[list[int], list[int]]) -> None:
-    for who, (healthy, failing) in reports.items():
+    for member, (healthy, failing) in reports.items():
         observations = Observations(healthy, failing)
-        observer.receive_observations(now, int(who[1:]), observations, observations.total, len(failing))
+        observer.receive_observations(now, int(member[1:]), observations, observations.total, len(failing))
 
 
 def test_ejection_needs_several_members_and_has_a_ceiling() -> None:
@@ -115,10 +115,10 @@
             for tag in range(10):
                 node.fleet.server_observer.record_attempt(simulation.clock(node), tag, tag != 7)
     assert simulation.nodes[0].fleet
-    found = simulation.nodes[0].fleet.server_observer.ejected_servers(
+    ejected = simulation.nodes[0].fleet.server_observer.ejected_servers(
         simulation.clock(simulation.nodes[0]), list(range(10))
     )
-    assert found == [7]
+    assert ejected == [7]
 
 
 def test_counts_reach_all_members_in_short_datagrams() -> None:
@@ -126,11 +126,11 @@
     sizes: Counter[int] = Counter()
     carry: Callable[..., None] = simulation.carry
 
-    def carried(node: Any, data: bytes, to: int | None) -> None:
+    def carry_and_record(node: Any, data: bytes, to: int | None) -> None:
         sizes[len(data)] += 1
         carry(node, data, to)
 
-    simulation.carry = carried  # type: ignore[method-assign]
+    simulation.carry = carry_and_record  # type: ignore[method-assign]
     simulation.run(15)
     for node in simulation.nodes:
         assert node.fleet
