--- a/tests/process_fleet.py
+++ b/tests/process_fleet.py
@@ -1,4 +1,4 @@
-"""Several processes of the program as one fleet, with a relay on every link between two."""
+"""A fleet of real processes of the program, with a relay on every link between two of them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.stand_ins import StandInServer
 from tests.waiting import wait_until
 
-# The fleet's timers, shortened so that a test takes seconds. Modules that copy these on import come later.
+# The fleet's timers, shortened so that a test takes seconds. Modules that copy them are imported later.
 SHORT_TIMERS = overrides(
     {
         "brambleplank.fleet.leases.timing:HEARTBEAT_INTERVAL": 0.25,
@@ -29,7 +29,7 @@
 
 
 class MemberProcess(Program):
-    """One process of a fleet. Its log goes to a file, as a pipe that nobody reads would fill and block it."""
+    """One process of a fleet. It logs to a file, as a pipe that is not read would fill and block it."""
 
     def launch(self, folder: Path, patch: str) -> None:
         """Starts the process."""
@@ -44,30 +44,30 @@
         self.process.wait()
 
     def restart(self) -> None:
-        """Starts another process under the same name and addresses."""
+        """Starts the process again, with the same configuration and addresses."""
         self.seen = len(self.log_text())
         self.launch(self.config_path.parent, self.patch)
 
     def log_text(self) -> str:
-        """Returns all it has written, over all its starts."""
+        """Returns the log of all starts of the process."""
         return self.log_path.read_text()
 
     def suspend(self) -> None:
-        """Stops the process until `resume`."""
+        """Suspends the process until `resume`."""
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets a suspended process run."""
+        """Resumes a suspended process."""
         self.process.send_signal(signal.SIGCONT)
 
 
 class DelayedMemberProcess(MemberProcess):
-    """A process that is started by the test, by `restart`."""
+    """A process that only starts when the test calls `restart`."""
 
     is_started = False
 
     def launch(self, folder: Path, patch: str) -> None:
-        """Starts the process, unless it is made only now."""
+        """Starts the process, except when called by the constructor."""
         self.patch = patch
         self.log_path = folder / "log"
         self.log_path.touch()
@@ -81,10 +81,10 @@
 
 
 class ProcessFleet:
-    """So many processes before servers that all answer, and the links between them.
+    """A fleet of processes, the relayed links between them, and the servers behind them.
 
-    `failing_servers` of them take each opening and close the connection. `extra_processes` are started by a
-    test and killed with the fleet.
+    Servers accept all requests, but `failing_servers` more close each connection after the opening line.
+    `extra_processes` are started by a test and killed with the fleet.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
             )
 
     def wait_for_leader(self) -> int:
-        """Waits until a member has become leader; returns the number of the newest one."""
+        """Waits until a leader has been elected; returns the number of the one elected last."""
 
         def terms() -> list[tuple[float, int]]:
             return [
@@ -144,7 +144,7 @@
         return newest[1]
 
     def wait_until_connected(self) -> None:
-        """Waits until every process has been answered by a leader."""
+        """Waits until a leader has answered every process."""
         wait_until(
             lambda: all(
                 "fleet: partition over (out of the dark)" in member.log_text() for member in self.members
@@ -152,7 +152,7 @@
         )
 
     def close(self) -> None:
-        """Ends all processes and fails the test if one of them logged a fault."""
+        """Ends all processes, and fails the test if one of them logged a fault."""
         for process in self.extra_processes:
             process.kill()
             process.wait()
@@ -170,6 +170,6 @@
 
 
 def budget_table(limit: int, window: float = 0.0, **more: Any) -> dict[str, Any]:
-    """Returns a budget of the fleet's table: of flows in a window of so many seconds, or of connections."""
+    """Returns a budget for the fleet's table: flows per `window` seconds, or connections if that is 0."""
     kind = {"of": "flows", "window": f"{round(window * 1000)}ms"} if window else {"of": "connections"}
     return {"name": "all", "limit": limit, "reserve": 0.2, **kind, **more}
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -1,4 +1,4 @@
-"""The time without a leader keeps its bound, over seeds in virtual time; and the rules behind that bound."""
+"""Bounds on the time without a leader, over many seeds in virtual time, and the rules behind them."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from brambleplank.fleet.messages import Heartbeat
 
 SEEDS = range(60)
-MAX_REPLACEMENT_TIME = 3 * LEASE_DURATION  # from a leader's fault until another leads
-MAX_LEADERLESS_TIME = 2.5 * LEASE_DURATION  # on end without a leader
-MAX_MEAN_REPLACEMENT_TIME = 1.5 * LEASE_DURATION
-MAX_MEAN_LEADERLESS_TIME = 1.0 * LEASE_DURATION
+MAX_REPLACEMENT_TIME = 3 * LEASE_DURATION  # seconds from a leader's fault until another leads
+MAX_LEADERLESS_TIME = 2.5 * LEASE_DURATION  # seconds without a leader, uninterrupted
+MAX_MEAN_REPLACEMENT_TIME = 1.5 * LEASE_DURATION  # seconds
+MAX_MEAN_LEADERLESS_TIME = 1.0 * LEASE_DURATION  # seconds
 LEADER_FAULTS = [fault for fault in FAULTS if "leader" in fault]
 
 
@@ -37,7 +37,7 @@
     elif loss <= 0.1:
         assert not [
             seed for seed, result in results.items() if result.absent
-        ]  # nobody unseats a leader that is heard
+        ]  # a reachable leader is never replaced
 
 
 def pre_vote_request(number: int) -> Heartbeat:
@@ -49,7 +49,7 @@
 
 
 def idle_election(number: int = 0, now: float = 100.0) -> LeaderElection:
-    """One whose start is long over."""
+    """Returns the election of a member that started long ago and requests no pre-votes."""
     election = LeaderElection(number, 3, 1, now - 2 * LEASE_DURATION, Random(1))
     election.election_at = float("inf")
     return election
@@ -67,12 +67,12 @@
 
 
 def test_promise_ends_with_lease_or_step_down_only() -> None:
-    """A late pre-vote request of its own leader does not end it."""
+    """A late request for pre-votes by the followed leader does not end the promise."""
     election = idle_election()
     election.receive_heartbeat(100.0, 1, candidate_heartbeat(5))
     assert not election.receive_heartbeat(100.1, 1, pre_vote_request(4)) and election.supports_leader(100.1)
     assert election.receive_heartbeat(100.2, 1, pre_vote_request(6)) and not election.supports_leader(100.2)
-    election.receive_heartbeat(100.3, 1, candidate_heartbeat(5))  # sent before it stepped down
+    election.receive_heartbeat(100.3, 1, candidate_heartbeat(5))  # sent before the step-down
     assert not election.supports_leader(100.3)
     election.receive_heartbeat(100.4, 2, candidate_heartbeat(1))
     assert election.supports_leader(100.4 + LEASE_DURATION) and not election.supports_leader(
@@ -93,7 +93,7 @@
 
 
 def test_leader_without_majority_steps_down() -> None:
-    """It tells its followers, and counts no late support."""
+    """It announces this to its followers, and ignores support that arrives late."""
     election = idle_election()
     election.election_at = 0.0
     request = election.due_heartbeat(100.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What processes share, in virtual time: whole fleets under random load, each fault caught that is put in."""
+"""Whole fleets in virtual time, under random load and faults; injected faults must be caught."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def simulate(seed: int, steps: int = 12) -> None:
-    """Raises InvariantError; a line of a member that broke is one as well."""
+    """Raises InvariantError if the simulation finds a violation, or a member logs one."""
     simulation, rng = random_simulation(seed)
     if seed % 25:
         play_random_faults(simulation, steps, rng)
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("first", range(0, 2400, 150))
 def test_budgets_hold_under_random_faults(first: int) -> None:
-    """No window, no instant holds more than its budget, whatever fails."""
+    """No window or instant exceeds its budget, whatever fails."""
     for seed in range(first, first + 150):
         try:
             simulate(seed)
@@ -58,7 +58,7 @@
 
 
 class FleetStateMachine(RuleBasedStateMachine):
-    """The same, found and made smaller by Hypothesis."""
+    """The same invariants, under schedules that Hypothesis finds and shrinks."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -110,16 +110,16 @@
 
 
 def with_source_replaced(function: Any, old: str, new: str) -> Any:
-    """A function with a part of its text in another way."""
+    """Returns a function with a part of its source replaced."""
     text = textwrap.dedent(inspect.getsource(function))
     assert old in text
     scope = dict(inspect.getmodule(function).__dict__)
-    exec(text.replace(old, new), scope)  # the fault that is put in on purpose
+    exec(text.replace(old, new), scope)  # the injected fault
     return scope[function.__name__]
 
 
 def kill_holder_of_whole_count(seed: int) -> None:
-    """All of a count stands at one process, which is killed and starts anew; the others want all of it."""
+    """One process holds a whole count, is killed and restarts, while another wants all of it."""
     simulation = FleetSimulation(3, [Budget("count", 100, 0.0, 3)], seed)
     simulation.run(20)
     for step in range(250):
@@ -196,7 +196,7 @@
     owner, methods, old, new = FAULTS[fault]
     for method in methods.split():
         monkeypatch.setattr(owner, method, with_source_replaced(getattr(owner, method), old, new))
-    # A fault that a few plays in a hundred meet; which seeds do so changes with each change of the schedule.
+    # Only a few seeds in a hundred hit such a fault, and any change of the schedule changes which ones do.
     seeds = [25 * n for n in range(40)] if owner in (LeaderElection, Candidacy) else range(1, 300)
     with pytest.raises(InvariantError):
         for seed in seeds:
@@ -215,12 +215,12 @@
 
 
 def test_budget_use_at_one_member_and_in_a_partition() -> None:
-    """One member gets nearly all; in a cut a majority goes on, and a minority has its reserve."""
+    """One member gets nearly all; in a partition the majority goes on, and the minority has its reserves."""
     budget = Budget("rate", 1000, 5.0, 5)
     simulation = FleetSimulation(5, [budget], 7)
 
     def use(number: int, seconds: float) -> float:
-        """Share of the budget that one member uses while it wants it all."""
+        """Returns the share of the budget that one member uses while it wants all of it."""
         before = simulation.served
         for _ in range(int(seconds * 100)):
             simulation.run(0.01)
@@ -252,14 +252,14 @@
 
 
 def test_member_whose_requests_were_lost_for_two_hours_gets_leases_again() -> None:
-    # Guards against a member that takes no turn any more after an hour of requests without an answer.
+    # Guards against an overflow in the backoff, which stopped ticks after an hour without a reply.
     simulation = FleetSimulation(3, [Budget("count", 30, 0.0, 3, 0.1)], 1, check=False)
     simulation.run(30)
     leader = simulation.leader()
     assert leader is not None
     member = simulation.nodes[(leader.number + 1) % 3]
     assert member.fleet is not None
-    simulation.links.cut.add((member.number, leader.number))  # the leader is heard, and hears nothing
+    simulation.links.cut.add((member.number, leader.number))  # the leader gets nothing from the member
     for _ in range(120):
         simulation.run(60)
         for _ in range(20):
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Several real processes that share budgets, with faults between them; judged by clients' answers."""
+"""Real processes that share budgets, under faults; the tests check the answers that clients receive."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 from tests.stand_ins import LineConnection
 from tests.waiting import TEST_TIMEOUT, wait_until
 
-WINDOW, LIMIT = 2.0, 40
-# The election's bound (`tests/test_elections.py`) is three leases of 1 s here; as much again if it is busy.
+WINDOW, LIMIT = 2.0, 40  # seconds, units
+# Seconds. Twice the bound of `tests/test_elections.py`, three leases of 1 s here, as the machine may be busy.
 MAX_REPLACEMENT_TIME = 2 * 3 * 1.0
 Fleets = Callable[..., ProcessFleet]
 
@@ -56,14 +56,14 @@
 
 
 def wait_until_served(load: ClientLoad, more_than: int, timeout: float = TEST_TIMEOUT) -> None:
-    """Until one window of its own has seen more than so many served."""
+    """Waits until more than so many requests of a load were served within one window."""
     wait_until(lambda: most_served_within(list(load.outcomes)[-3 * LIMIT :], WINDOW) > more_than, timeout)
 
 
 def test_budget_holds_over_leader_kill_and_restart_of_all(fleets: Fleets) -> None:
     fleet = fleets(budget=[budget_table(LIMIT, WINDOW)])
     loads = [ClientLoad(member) for member in fleet.members]
-    for load in loads:  # nobody is left out
+    for load in loads:  # every member gets a share
         wait_until(lambda load=load: count_served(load.outcomes))  # type: ignore[misc]
     leader = fleet.wait_for_leader()
     fleet.members[leader].kill()
@@ -138,7 +138,7 @@
         for _ in range(2 * LIMIT)
     ]
     second_load = ClientLoad(fleet.members[other])
-    wait_until_served(second_load, LIMIT // 2)  # what the stalled one had is lent to another
+    wait_until_served(second_load, LIMIT // 2)  # the stalled member's units are leased to another
     for thread in threads:
         thread.start()
     fleet.members[borrower].resume()
@@ -159,9 +159,9 @@
     wait_until(lambda: all(count_served(d.outcomes) > 2 for d in loads))
     leader = fleet.wait_for_leader()
     deaf = (leader + 1) % 5
-    fleet.relay.severed_links = {(n, deaf) for n in range(5)}  # it is heard, and hears nothing
+    fleet.relay.severed_links = {(n, deaf) for n in range(5)}  # it can send, but receives nothing
     wait_until(lambda: "in the dark" in fleet.members[deaf].log_text().split("out of the dark")[-1])
-    fleet.relay.severed_links = {(n, leader) for n in range(5)}  # its beats go on, and no answer reaches it
+    fleet.relay.severed_links = {(n, leader) for n in range(5)}  # it sends heartbeats, but gets no reply
     wait_until(lambda: "stepped down" in fleet.members[leader].log_text())
     wait_until(lambda: fleet.wait_for_leader() != leader, MAX_REPLACEMENT_TIME)
     fleet.relay.severed_links.clear()
@@ -189,12 +189,12 @@
     fleet.members[holder].kill()
     killed_at = time.monotonic()
     for outcome in outcomes_by_member[holder]:
-        outcome.ended_at = killed_at  # the client sees it end at once; the servers' side may take longer
+        outcome.ended_at = killed_at  # for the client; the server may notice later
     fleet.members[holder].restart()
     wait_until(lambda: open_connection(other, 16))
     assert (
         outcomes_by_member[other][-1].answered_at > killed_at + 2.0 * 0.98
-    )  # not before its connections are known to be gone
+    )  # not before its connections are known to be closed
     assert (
         most_concurrent([outcome for outcomes in outcomes_by_member.values() for outcome in outcomes]) <= 20
     )
@@ -217,7 +217,7 @@
 def test_forged_and_malformed_messages_grant_nothing(fleets: Fleets) -> None:
     fleet = fleets(4, budget=[budget_table(LIMIT, WINDOW)])
     fleet.wait_until_connected()
-    fleet.members[3].kill()  # the story speaks in its name
+    fleet.members[3].kill()  # the forged messages carry its number
     future_incarnation = int(time.time() * 1000) + 60_000
 
     def send_forged_messages(n: int) -> None:
@@ -388,7 +388,7 @@
     objector.restart()
     wait_until(
         lambda: "out of the dark" in objector.log_text()[objector.seen :]
-    )  # what it says counts from then on
+    )  # from then on, its objections count
     publish_rules(
         fleet.members[0],
         SERVES + REFUSES + ('[[rule]]\ndoes = "refuse"\nservice_type = ["order"]\ncustomer = ["x"]\n'),
@@ -401,7 +401,7 @@
 
 
 def test_minority_restarted_member_and_rival_publisher_converge(fleets: Fleets) -> None:
-    """All end with the newest table."""
+    """All members end with the newest table."""
     fleet = fleet_with_rules(fleets, 5)
     leader = fleet.wait_for_leader()
     minority = {leader, (leader + 1) % 5}
@@ -421,7 +421,7 @@
     assert len({tuple(answer_to(m, customer) for customer in ("one", "two")) for m in fleet.members}) == 1
     restarted = fleet.members[majority[0]]
     restarted.kill()
-    restarted.restart()  # its file is an older one
+    restarted.restart()  # its file holds an older table
     wait_until(lambda: ready(restarted))
     other = fleet.members[majority[1]]
     assert [answer_to(restarted, name) for name in ("one", "two", "late")] == [
@@ -430,7 +430,7 @@
 
 
 def ready(member: MemberProcess) -> bool:
-    """Whether it answers PING with PONG."""
+    """Returns whether a member answers PING with PONG."""
     with suppress(OSError):
         line = LineConnection(socket.create_connection(member.address, timeout=2.0))
         line.send_line("PING")
@@ -465,7 +465,7 @@
 
 
 def retirement(begins: float, **changes: Any) -> str:
-    """Feeds of v1: warned at once, half of the callers turned away 2 s from then, all after 60 s."""
+    """Retires feeds of v1: warned at once, half of the callers rejected after 2 s, all of them after 60 s."""
 
     def at(seconds: float) -> str:
         return datetime.fromtimestamp(begins + seconds, UTC).isoformat()
@@ -489,7 +489,7 @@
 
 
 def rejected_callers(member: MemberProcess, keys: range) -> set[int]:
-    """The callers that get no connection."""
+    """Returns the callers that get no connection."""
     rejected = set()
     for key in keys:
         outcome = send_request(member, fields=",t=acme,v=v1", key=key)
@@ -519,7 +519,7 @@
     wait_until(lambda: not rejected_callers(fleet.members[deaf], keys))
     assert time.monotonic() < started_at + TEST_TIMEOUT
     fleet.relay.severed_links.clear()
-    publish_rules(fleet.members[(leader + 2) % 5], text)  # the halt is over
+    publish_rules(fleet.members[(leader + 2) % 5], text)  # ends the halt
     wait_until(lambda: all(rejected_callers(member, keys) == rejected for member in fleet.members))
 
 
@@ -547,7 +547,7 @@
 
     def request_with_notice() -> RequestOutcome | None:
         outcome = send_request(member, ",notice=1", fields=",t=acme,v=v1", key=min(served_keys))
-        with suppress(TimeoutError):  # it came before it was warned about
+        with suppress(TimeoutError):  # the request came before the warning
             return (
                 outcome
                 if outcome and outcome.connection and outcome.connection.read_line().startswith("NOTICE ")
--- a/tests/test_fleet_reports.py
+++ b/tests/test_fleet_reports.py
@@ -1,4 +1,4 @@
-"""Counts over a fleet, and what its members find of servers."""
+"""Counts over a fleet, and its members' observations of servers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @given(st.randoms(use_true_random=False))
 def test_aggregates_are_monotonic_and_never_overcount(rng: Any) -> None:
-    """Over restarts, and lost and repeated reports."""
+    """Also with restarts, and with lost and duplicate reports."""
     leader_counts = Counts()
     reports: list[tuple[int, int, list[messages.Count]]] = []  # member, incarnation, counts
     true_count = 0
@@ -80,13 +80,13 @@
 def test_ejection_needs_several_members_and_has_a_ceiling() -> None:
     observer = ServerObserver()
     members_report(observer, 0.0, m1=([2, 3], [1]))
-    assert observer.servers_to_eject(0.0, 10) == []  # one is not several
+    assert observer.servers_to_eject(0.0, 10) == []  # one member is not enough
     members_report(observer, 0.0, m2=([2, 3], [1]))
     assert observer.servers_to_eject(0.0, 10) == [1]
     members_report(observer, 0.0, m3=([1, 2], []))
-    assert observer.servers_to_eject(0.0, 10) == []  # two against one that got through
+    assert observer.servers_to_eject(0.0, 10) == []  # two find it failing, but one finds it healthy
     members_report(observer, 0.0, m3=([], [1, 2, 3]), m4=([], [1, 2, 3]))
-    assert observer.servers_to_eject(0.0, 10) == [1]  # of those who find most bad nothing is believed
+    assert observer.servers_to_eject(0.0, 10) == [1]  # members that find most servers failing are disregarded
     members_report(
         observer, 0.0, m1=(list(range(9, 20)), list(range(4))), m2=(list(range(9, 20)), list(range(4)))
     )
