--- a/brambleplank/settings.py
+++ b/brambleplank/settings.py
@@ -1,6 +1,6 @@
-"""The settings that hosts are given, decoded into the terms of the decisions.
+"""Decodes the settings of the wire and of configuration files.
 
-The keys and words are those of the wire and of configuration files; they are mapped here and nowhere else.
+Only this module maps their keys and values to the terms of the decisions.
 """
 
 from __future__ import annotations
@@ -11,39 +11,39 @@
 from brambleplank.errors import BrambleplankError
 from brambleplank.model import Idempotency, Settings, TrafficClass
 
-IDEMPOTENCY_NAMES = {
+IDEMPOTENCY_BY_NAME = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.IDEMPOTENT_IN_GROUP,
     "once": Idempotency.NON_IDEMPOTENT,
 }
-MICRO = 1e-6  # seconds in a microsecond
-MAX_SESSION_SILENCE = 4.5  # seconds; 7 are allowed, and a line goes out every 2
-MAX_SHUTDOWN_TIME = 3.0  # seconds; 0.7 more are left for the ends of sessions to arrive
+MICRO = 1e-6  # seconds per microsecond
+MAX_SESSION_SILENCE = 4.5  # seconds; the limit is 7, and a line is sent every 2 seconds
+MAX_SHUTDOWN_TIME = 3.0  # seconds; leaves 0.7 seconds for the ends of sessions to arrive
 
 MeaningT = TypeVar("MeaningT")
 
 
 class MalformedError(BrambleplankError):
-    """What was read is not of this wire."""
+    """The input does not follow the wire protocol."""
 
-    ADVICE = "start this program by the line that its host's page gives, with a host of the same wire"
+    ADVICE = "start this program with the command on its host's page, from a host of the same wire protocol"
 
 
-def decode_word(words: Mapping[Any, MeaningT], word: Any, what: str) -> MeaningT:
-    """Returns the meaning of one of the wire's words. Raises MalformedError for an unknown one."""
-    if word not in words:
-        raise MalformedError(f"unknown {what} {word!r:.40}")
-    return words[word]
+def decode_word(meanings: Mapping[Any, MeaningT], word: Any, kind: str) -> MeaningT:
+    """Returns the meaning of a word of the wire. Raises MalformedError if it is unknown."""
+    if word not in meanings:
+        raise MalformedError(f"unknown {kind} {word!r:.40}")
+    return meanings[word]
 
 
 def decode_settings(info: dict[str, Any], sockets: bool = False) -> Settings:
-    """Decodes the settings; keys that are not known here are left alone.
+    """Decodes the settings and ignores unknown keys.
 
-    On sockets the endpoint list is followed, never pushed, and no message times are reported.
+    With `sockets`, the endpoint list is subscribed to instead of pushed, and servers report no message times.
     """
     limits = info["policy_limits"]
     rules = info["rules"]
-    facts = info.get("specifics", {})
+    specifics = info.get("specifics", {})
     traffic_classes = decode_traffic_classes(info)
     proxies, proxy_number = decode_proxies(info)
     return Settings(
@@ -66,17 +66,17 @@
         zone=info.get("az", ""),
         probes_endpoints=sockets and bool(limits.get("may_probe", False)),
         may_message_peers=bool(limits.get("peers", False)),
-        passes_through=facts.get("mode") == "pass",
-        has_groups=bool(facts.get("groups", False)),
+        passes_through=specifics.get("mode") == "pass",
+        has_groups=bool(specifics.get("groups", False)),
         traffic_classes=traffic_classes,
         tenants=frozenset(item["name"] for item in info.get("tenants") or ()),
     )
 
 
 def decode_proxies(info: dict[str, Any]) -> tuple[int, int]:
-    """Returns the number of proxies in front of the same servers, and this proxy's own among them.
+    """Returns the number of proxies in front of the same servers, and the number of this one among them.
 
-    Proxies of another build may stand beside those of this one, before or after them in the numbering.
+    Proxies of another build may share the servers; they are numbered before or after those of this build.
     """
     other_build = info.get("beside") or {}
     others = other_build.get("balancers", 0)
@@ -95,7 +95,7 @@
             message_objective_us = message_targets[index]
         traffic_classes[item["name"]] = TrafficClass(
             latency_objective=latency_objective_us * MICRO,
-            idempotency=IDEMPOTENCY_NAMES[item["effect"]],
+            idempotency=IDEMPOTENCY_BY_NAME[item["effect"]],
             deduplication_scope=item.get("group", "all"),
             deduplication_window=item.get("window_us", 0) * MICRO,
             message_latency_objective=message_objective_us * MICRO,
