--- a/brambleplank/fleet/leases/account.py
+++ b/brambleplank/fleet/leases/account.py
@@ -15,7 +15,7 @@
     MAX_CLOCK_DRIFT,
 )
 
-WINDOW_STEPS = 512  # of a window; units are summed per step
+WINDOW_STEPS = 512  # steps of a window; units are summed per step
 HEADROOM = 1 / 4  # share of recent demand that is requested on top, so that a rise finds free units
 
 
