--- a/brambleplank/fleet/invariants.py
+++ b/brambleplank/fleet/invariants.py
@@ -31,10 +31,10 @@
     location = f"fleet budget {budget.name}"
     if not 0 <= account.leased <= budget.leasable:
         raise InvariantError(f"{account.leased} units leased, at most {budget.leasable} allowed", location)
-    most = budget.leasable + account.reserve
+    max_units = budget.leasable + account.reserve
     used = account.used(now)
-    if not 0 <= used <= most:
-        raise InvariantError(f"{used} units in use, at most {most} allowed", location)
+    if not 0 <= used <= max_units:
+        raise InvariantError(f"{used} units in use, at most {max_units} allowed", location)
 
 
 def check_ledger(now: float, ledger: Ledger) -> None:
--- a/brambleplank/fleet/member.py
+++ b/brambleplank/fleet/member.py
@@ -269,7 +269,7 @@
             case messages.CountReport() | messages.ServerObservations():
                 self.receive_report(now, sender, message)
             case messages.Aggregates() | messages.Ejections():
-                self.receive_published(now, sender, message)
+                self.receive_leader_results(now, sender, message)
             case _:
                 self.agreements.receive(now, sender, message)
 
@@ -298,11 +298,11 @@
 
     def receive_lease_request(self, now: float, sender: int, request: messages.LeaseRequest) -> None:
         """Records the support and pre-vote in a lease request; as the leader, replies with a grant."""
-        own = sender == self.identity.number
+        is_own = sender == self.identity.number
         if request.recipient != self.identity.incarnation:
             return
         earlier: list[Borrower] = []
-        if not own:
+        if not is_own:
             member = self.membership.state(sender)
             if request.sequence <= member.last_request_sequence:
                 return  # A late or duplicate request states outdated units.
@@ -310,7 +310,7 @@
             earlier = [Borrower(sender, incarnation) for incarnation in member.earlier_incarnations]
         if request.supports:
             self.election.receive_support(now, sender, request.heartbeat, request.term)
-        if not own:
+        if not is_own:
             self.election.receive_pre_vote(sender, request.heartbeat)
         if not self.election.is_leader(now):
             return
@@ -355,7 +355,7 @@
                 now, sender, observations, message.tried_total, message.failing_total
             )
 
-    def receive_published(
+    def receive_leader_results(
         self, now: float, sender: int, message: messages.Aggregates | messages.Ejections
     ) -> None:
         """Handles the aggregates or ejections that the leader publishes."""
--- a/brambleplank/fleet/membership.py
+++ b/brambleplank/fleet/membership.py
@@ -67,7 +67,7 @@
         self.leader_coverage = Coverage(1, identity.members, 0.0)  # as the leader last reported it
         self.leader_coverage_at = now
         self.partitioned = False
-        self.partition_known_from = now + LEASE_DURATION  # no partition is reported before
+        self.partition_reported_from = now + LEASE_DURATION  # no partition is reported before
 
     def is_other(self, member: int) -> bool:
         """Returns whether a number is that of another member."""
@@ -107,7 +107,7 @@
 
         Returns whether that has changed.
         """
-        partitioned = now >= max(granted_at + LEASE_DURATION, self.partition_known_from)
+        partitioned = now >= max(granted_at + LEASE_DURATION, self.partition_reported_from)
         changed = partitioned != self.partitioned
         self.partitioned = partitioned
         return changed
--- a/brambleplank/fleet/server_observations.py
+++ b/brambleplank/fleet/server_observations.py
@@ -131,9 +131,9 @@
         failing = set(observations.failing)
         if not self.unreported:
             self.unreported = [*observations.failing, *observations.healthy]
-        most = size * MAX_REPORT_MESSAGES
-        due = [tag for tag in self.unreported[:most] if tag in healthy or tag in failing]
-        self.unreported = self.unreported[most:]
+        max_servers = size * MAX_REPORT_MESSAGES
+        due = [tag for tag in self.unreported[:max_servers] if tag in healthy or tag in failing]
+        self.unreported = self.unreported[max_servers:]
         parts = [due[start : start + size] for start in range(0, len(due), size)]
         return [
             Observations([tag for tag in part if tag in healthy], [tag for tag in part if tag in failing])
--- a/brambleplank/fleet/shapes.py
+++ b/brambleplank/fleet/shapes.py
@@ -186,9 +186,9 @@
             f"{len(table.members)} members, but sidecars = {sidecars}",
             "list every sidecar, in the order of their numbers",
         )
-    found = [addresses.read(text) for text in table.members]
-    for n, (text, address) in enumerate(zip(table.members, found, strict=True)):
-        if address is None or address in found[:n]:
+    parsed = [addresses.read(text) for text in table.members]
+    for n, (text, address) in enumerate(zip(table.members, parsed, strict=True)):
+        if address is None or address in parsed[:n]:
             reading.add_fault(
                 (*at, "members", n), f'"{text}" is not an address or is a duplicate', "list each once"
             )
