--- a/brambleplank/fleet/leases/client.py
+++ b/brambleplank/fleet/leases/client.py
@@ -1,4 +1,4 @@
-"""Requests leases of the leader for this process's accounts, and takes its grants."""
+"""Requests leases from the leader for this process's accounts, and applies its grants."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from brambleplank.fleet.leases.timing import HEARTBEAT_INTERVAL, LEASE_DURATION
 from brambleplank.fleet.messages import Allocation, Heartbeat, LeaseGrant, LeaseRequest
 
-EARLY_RETRY = 0.25  # seconds between two requests, where a unit was refused for lack of a lease
-BACKOFF = 1.5  # factor from one wait to the next while no answer comes
+EARLY_RETRY_INTERVAL = 0.25  # seconds between requests after a unit was refused for lack of a lease
+BACKOFF_FACTOR = 1.5  # between consecutive waits while no reply arrives
 MAX_RETRY_WAIT = 2 * HEARTBEAT_INTERVAL  # seconds
-MS = 1000  # in a second
+MS_PER_SECOND = 1000
 
 
 class Identity(Protocol):
-    """This process's start, as far as requests name it."""
+    """The identity of this process in lease requests."""
 
     @property
     def incarnation(self) -> int:
@@ -30,7 +30,7 @@
 
 
 class LeaseClient:
-    """This process as a borrower; `accounts` are by the tags of their budgets."""
+    """This process as a borrower. `accounts` are keyed by the tags of their budgets."""
 
     def __init__(
         self,
@@ -52,11 +52,11 @@
         self.due_at = now + rng.uniform(0, HEARTBEAT_INTERVAL)
 
     def has_lease(self, now: float) -> bool:
-        """Returns whether the leader has answered within the length of a lease."""
+        """Returns whether the leader has answered a request within the last lease duration."""
         return now < self.granted_at + LEASE_DURATION
 
-    def note_refused(self) -> None:
-        """A unit was wanted, and there was none; a lease is requested soon."""
+    def record_refusal(self) -> None:
+        """Records that a unit was refused; the next request becomes due early."""
         self.unit_refused = True
 
     def expedite(self, now: float) -> None:
@@ -69,23 +69,23 @@
             return True
         if not self.unit_refused:
             return False
-        wait = exponential_backoff(EARLY_RETRY, BACKOFF, self.unanswered, MAX_RETRY_WAIT)
+        wait = exponential_backoff(EARLY_RETRY_INTERVAL, BACKOFF_FACTOR, self.unanswered, MAX_RETRY_WAIT)
         return now >= self.requested_at + wait
 
     def retry_wait(self) -> float:
-        """Returns the seconds to the next request. A leader without answer is asked less and less often."""
+        """Returns the seconds until the next request, which increase while the leader does not reply."""
         if not self.unanswered:
             return HEARTBEAT_INTERVAL
-        # A candidate answers nothing yet; asked less and less, it would miss its majority on lossy links.
+        # A candidate does not reply yet. Backing off would cost it its majority on lossy links.
         steps = self.unanswered - 1 if self.election.followed.is_elected else 0
-        return exponential_backoff(HEARTBEAT_INTERVAL / 2, BACKOFF, steps, MAX_RETRY_WAIT)
+        return exponential_backoff(HEARTBEAT_INTERVAL / 2, BACKOFF_FACTOR, steps, MAX_RETRY_WAIT)
 
     def schedule_retry(self, now: float, wait: float) -> None:
-        """Makes the next request due after about so many seconds."""
+        """Schedules the next request in about `wait` seconds."""
         self.due_at = now + wait * self.rng.uniform(0.9, 1.0)
 
     def next_request(self, now: float) -> LeaseRequest:
-        """Returns a request to the process that this one follows, with all that this one holds."""
+        """Returns a request to the followed process, with all units that this process holds."""
         election = self.election
         supports = election.supports_leader(now)
         self.sequence += 1
@@ -102,13 +102,13 @@
             age=self.age_ms(now),
             term=election.newest_term,
             allocations=[
-                Allocation(tag, account.release_unused(now), account.wants(now))
+                Allocation(tag, account.release_unused(now), account.wanted_units(now))
                 for tag, account in self.accounts.items()
             ],
         )
 
     def pre_vote(self, now: float, heartbeat: Heartbeat) -> LeaseRequest:
-        """Returns the answer that this process would follow the sender. It promises and requests nothing."""
+        """Returns a pre-vote for the sender of a heartbeat. It makes no promise and requests no lease."""
         self.sequence += 1
         return LeaseRequest(
             incarnation=self.identity.incarnation,
@@ -123,17 +123,17 @@
 
     def age_ms(self, now: float) -> int:
         """Returns the age of this process in ms."""
-        return round(self.identity.age(now) * MS)
+        return round(self.identity.age(now) * MS_PER_SECOND)
 
-    def receive_grant(self, now: float, who: int, grant: LeaseGrant) -> None:
-        """Takes the answer to the newest request.
+    def receive_grant(self, now: float, sender: int, grant: LeaseGrant) -> None:
+        """Applies the reply to the newest request.
 
-        The leader counts on that one; an older answer is void.
+        The leader's record matches that request; earlier replies are void.
         """
         if grant.recipient != self.identity.incarnation:
             return
         is_answer = grant.request == self.sequence and self.unanswered
-        if not is_answer or not self.election.followed.is_start(who, grant.incarnation):
+        if not is_answer or not self.election.followed.is_incarnation(sender, grant.incarnation):
             return
         self.granted_at = now
         self.unanswered = 0
@@ -142,9 +142,9 @@
             if lease.budget in self.accounts:
                 self.accounts[lease.budget].receive_lease(self.requested_at, lease.amount)
 
-    def begin_anew(self, now: float) -> None:
-        """Starts over under a new incarnation, whose requests are numbered anew."""
+    def reset(self, now: float) -> None:
+        """Resets the client for a new incarnation, whose requests are numbered from 1 again."""
         self.sequence = 0
         self.unanswered = 0
         for account in self.accounts.values():
-            account.begin_anew(now)
+            account.reset(now)
--- a/brambleplank/fleet/retirement/progress.py
+++ b/brambleplank/fleet/retirement/progress.py
@@ -101,7 +101,7 @@
         self.active_table = active_table
         self.wall_time = wall_time
         self.log = log
-        self.now = fleet.identity.began  # at the last tick
+        self.now = fleet.identity.started_at  # at the last tick
         self.positions: dict[str, RetirementPosition] = {}  # in force, by retirement
         self.entered_at: dict[str, float] = {}  # when the step of a retirement came into force here
         self.step_cache = StepCache()
@@ -152,7 +152,7 @@
         may_halt = step.stage != RetirementStage.ENDED
         if may_halt and (position.halt_reason or self.fleet.partitioned or not self.fleet.has_lease(now)):
             return False  # A partitioned process would not receive a halt, so it serves its callers.
-        return not retirement.ceiling or self.fleet.take(now, retirement.ceiling)
+        return not retirement.ceiling or self.fleet.try_acquire(now, retirement.ceiling)
 
     def migration_count(self, now: float, retirement: Retirement, session_count: int) -> int:
         """Returns how many sessions of an ended service type or version to migrate in this second."""
@@ -164,7 +164,7 @@
         if not retirement.moves:
             return wanted
         count = 0
-        while count < wanted and self.fleet.take(now, retirement.moves):
+        while count < wanted and self.fleet.try_acquire(now, retirement.moves):
             count += 1
         return count
 
--- a/brambleplank/fleet/routing/active_routes.py
+++ b/brambleplank/fleet/routing/active_routes.py
@@ -73,7 +73,7 @@
             more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
             raise RouteTableError(f"{faults[0]}{more}")
         self.table = table
-        self.started_at = fleet.identity.began
+        self.started_at = fleet.identity.started_at
         self.tables: dict[int, route_table.RouteTable] = {}  # prepared tables, by the digests of their texts
         self.uses_own_file = False  # whether it has stopped waiting for the version in force
         self.agreement = VersionAgreement(
--- a/brambleplank/fleet/routing/admission.py
+++ b/brambleplank/fleet/routing/admission.py
@@ -144,16 +144,16 @@
         if not self.have_units(now, [budget.account for budget in needed]):
             return False
         for budget in needed:
-            self.fleet.take(now, budget.table.name)
+            self.fleet.try_acquire(now, budget.table.name)
             if budget.table.of == "connections":
                 request.open_units.append(budget.account)
         return True
 
     def have_units(self, now: float, accounts: list[Account]) -> bool:
         """Returns whether all accounts have a unit left; a lease is requested for those that have none."""
-        short = [account for account in accounts if not account.free(now)]
+        short = [account for account in accounts if not account.has_free_unit(now)]
         for account in short:
-            self.fleet.missed(now, account)
+            self.fleet.record_refusal(now, account)
         return not short
 
     def warn(self, retirement: Retirement, request: AdmittedRequest) -> None:
@@ -221,7 +221,7 @@
         ]
         if not self.have_units(now, needed):
             return False
-        return all(self.fleet.take(now, account.budget.name) for account in needed)
+        return all(self.fleet.try_acquire(now, account.budget.name) for account in needed)
 
     def request_established(self, handle: Any) -> None:
         """Counts a request as served, once, when its session is established."""
@@ -242,4 +242,4 @@
 
     def count(self, kind: CountKind, request: AdmittedRequest) -> None:
         """Counts a request under its service type, customer and version."""
-        self.fleet.counts.note(kind, request.service_type, request.customer, request.version)
+        self.fleet.counts.increment(kind, request.service_type, request.customer, request.version)
--- a/brambleplank/fleet/versions/agreement.py
+++ b/brambleplank/fleet/versions/agreement.py
@@ -17,7 +17,7 @@
 from random import Random
 
 from brambleplank.fleet import messages
-from brambleplank.fleet.errors import BrokenError
+from brambleplank.fleet.errors import InvariantError
 from brambleplank.fleet.versions.identity import AgreementCallbacks, AgreementIdentity
 from brambleplank.fleet.versions.proposer import Proposer, PublicationRequest
 from brambleplank.fleet.versions.reviews import TextReviews
@@ -262,9 +262,9 @@
         self.accepted = NOTHING_ACCEPTED
 
     def put_in_force(self, version: int, digest: int) -> None:
-        """Puts a version in force. Raises BrokenError if it is not newer than the one in force."""
+        """Puts a version in force. Raises InvariantError if it is not newer than the one in force."""
         if version <= self.version:
-            raise BrokenError(f"version {version} after {self.version}", f"fleet {self.identity.name}")
+            raise InvariantError(f"version {version} after {self.version}", f"fleet {self.identity.name}")
         self.version = version
         self.digest = digest
         self.is_current = True
--- a/brambleplank/fleet/versions/agreements.py
+++ b/brambleplank/fleet/versions/agreements.py
@@ -82,7 +82,7 @@
         Announcements of other members serve a process that does not know yet which version is in force.
         """
         followed = self.election.followed
-        is_followed = followed.is_start(sender, message.incarnation)
+        is_followed = followed.is_incarnation(sender, message.incarnation)
         match message:
             case messages.VersionAnnouncement():
                 if is_followed and followed.is_elected:
--- a/brambleplank/platform/fleet_membership.py
+++ b/brambleplank/platform/fleet_membership.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from brambleplank.checks import InvalidConfigurationError
-from brambleplank.fleet.messages import FORMAT
+from brambleplank.fleet.messages import FORMAT_BYTE
 from brambleplank.fleet.routing.active_routes import RouteTableError
 from brambleplank.fleet.shapes import FleetSettings
 from brambleplank.net.fleet_link import FleetLink
@@ -36,5 +36,5 @@
         raise InvalidConfigurationError(f"fleet.routes: {fleet.routes}: {error}") from None
     proxy.requests.set_fleet_admission(fleet_link)
     peers.add_datagram_handler(
-        FORMAT, lambda data, number: fleet_link.datagram_received(data, number - first_number)
+        FORMAT_BYTE, lambda data, number: fleet_link.datagram_received(data, number - first_number)
     )
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.fleet_simulation import FleetSimulation, SimulatedMember
-from brambleplank.fleet.errors import BrokenError
+from brambleplank.fleet.errors import InvariantError
 from brambleplank.fleet.leases.budgets import Budget
 from brambleplank.fleet.leases.counts import CountKind
 from brambleplank.fleet.retirement.plan import (
@@ -221,7 +221,7 @@
                 found = progress.positions.get("maps v1")
                 step = found.step if found else -1
                 if step < steps[-1] and steps[-1] != -1 and steps[-2:] != [-1]:
-                    raise BrokenError(f"step {step} after {steps[-1]} at {n}", "retirement")
+                    raise InvariantError(f"step {step} after {steps[-1]} at {n}", "retirement")
                 if step != steps[-1]:
                     steps.append(step)
             self.at(self.now + 0.1, tick)
@@ -414,9 +414,11 @@
     simulation.run_until(30)
     progress = simulation.progress[0]
     progress.positions["maps v1"] = RetirementPosition("maps v1", 0)
-    with pytest.raises(BrokenError):  # raised by the simulation's own check
+    with pytest.raises(InvariantError):  # raised by the simulation's own check
         simulation.run(0.5)
     simulation.steps[0].append(0)
     simulation.run(0.5)
-    logged = [line for line in simulation.nodes[0].log_lines if "step of maps v1: 0 after 1" in line]
+    logged = [
+        line for line in simulation.nodes[0].log_lines if "step of maps v1: decreased to 0 from 1" in line
+    ]
     assert len(logged) == 1
