--- a/brambleplank/platform/configuration.py
+++ b/brambleplank/platform/configuration.py
@@ -38,10 +38,10 @@
     listen: Address
     discovery: Address
     seed: int
-    descriptors: int  # that the proxy may open
+    descriptor_limit: int  # that the proxy may open
     peers: PeerConfiguration | None  # None where proxies may not talk to each other
-    operators: Address | None  # where operators call, if anywhere
-    known: dict[str, Any]  # the endpoint list to begin with, in discovery's form
+    operator_address: Address | None  # where operators call, if anywhere
+    initial_list: dict[str, Any]  # the endpoint list to begin with, in discovery's form
     settings: Settings
     file: dict[str, Any]  # as it was read
     fleet: FleetSettings | None = None  # what the proxy shares with other processes, where the key is given
@@ -76,8 +76,8 @@
         require_same_keys(previous.file, file)
     check_name(file)
     seed = decode_seed(file)
-    descriptors = decode_descriptors(file)
-    known = decode_known(file)
+    descriptor_limit = decode_descriptor_limit(file)
+    initial_list = decode_initial_list(file)
     raw_settings = settings_to_apply(file, previous)
     settings = decode_checked_settings(raw_settings)
     peer_addresses = decode_peer_addresses(file)
@@ -98,10 +98,10 @@
         listen=listen,
         discovery=discovery,
         seed=seed,
-        descriptors=descriptors,
+        descriptor_limit=descriptor_limit,
         peers=peers,
-        operators=address(operators, "mgmt") if operators is not None else None,
-        known=known,
+        operator_address=address(operators, "mgmt") if operators is not None else None,
+        initial_list=initial_list,
         settings=settings,
         file=file,
         fleet=previous.fleet if previous else decode_fleet(file, settings, members, operators is not None),
@@ -125,7 +125,7 @@
         ) from None
 
 
-def decode_descriptors(file: dict[str, Any]) -> int:
+def decode_descriptor_limit(file: dict[str, Any]) -> int:
     """How many descriptors the proxy may open. Raises InvalidConfigurationError."""
     limits = file.get("limits", {})
     if not isinstance(limits, dict):
@@ -138,7 +138,7 @@
     return descriptors
 
 
-def decode_known(file: dict[str, Any]) -> dict[str, Any]:
+def decode_initial_list(file: dict[str, Any]) -> dict[str, Any]:
     """The endpoint list to begin with. Raises InvalidConfigurationError."""
     known = file.get("known", EMPTY_LIST)
     try:
--- a/brambleplank/platform/connection_transfer.py
+++ b/brambleplank/platform/connection_transfer.py
@@ -94,7 +94,7 @@
         channel.send(SessionAdopted())
         self.holdings.descriptors_adopted(channel, message.sockets)
         try:
-            session = stored_values.table(message.session, "flow")
+            session = stored_values.decode_object(message.session, "flow")
             session_transfer.adopt(self.proxy, session, descriptors)
         except InvalidConfigurationError as error:
             self.proxy.log(f"upgrade: {error}")
--- a/brambleplank/platform/handoff.py
+++ b/brambleplank/platform/handoff.py
@@ -24,18 +24,18 @@
 from brambleplank.net.sibling_processes import CommandKind
 from brambleplank.platform.channel import Channel, ChannelFactory
 from brambleplank.platform.connection_transfer import ConnectionTransfer
-from brambleplank.platform.handoff_state import FORM, HandoffState
+from brambleplank.platform.handoff_state import STATE_FORMAT, HandoffState
 from brambleplank.platform.holdings import Holdings
 from brambleplank.platform.operator_relay import OperatorRelay
 from brambleplank.platform.rotation_file import RotationFile
-from brambleplank.platform.socket_path import place
+from brambleplank.platform.socket_path import runtime_file_path
 from brambleplank.platform.stored_values import address_text
 from brambleplank.platform.successor_listener import SuccessorListener
 from brambleplank.platform.takeover import TakeoverResult
 from brambleplank.platform.upgrade_messages import (
     HoldingsReport,
     MessageKind,
-    OperatorCallMessage,
+    OperatorCommandMessage,
     SessionMessage,
     TakeoverRequest,
     TakeoverResponse,
@@ -68,11 +68,11 @@
         self.proxy = proxy
         self.discovery = discovery
         self.accept_clients = accept_clients
-        self.rotation_file = RotationFile(place(tmp, listen, "words"), proxy.log)
+        self.rotation_file = RotationFile(runtime_file_path(tmp, listen, "words"), proxy.log)
         self.operators = OperatorRelay(proxy, self.rotation_file)
         self.holdings = Holdings(proxy)
         self.transfer = ConnectionTransfer(proxy, self.holdings)
-        self.listener = SuccessorListener(proxy, place(tmp, listen, "sock"), ChannelFactory(self))
+        self.listener = SuccessorListener(proxy, runtime_file_path(tmp, listen, "sock"), ChannelFactory(self))
         self.sockets: dict[str, OfferedSocket] = {}  # by key of the configuration
         self.channels: dict[Channel, None] = {}
         proxy.admission.descriptors_changed(RESERVED_DESCRIPTORS)
@@ -96,18 +96,18 @@
         self.rotation_file.read(self.proxy.rotation, self.proxy.clock.now())
         return False
 
-    def offer(self, key: str, address: Address, descriptor: Callable[[], int]) -> None:
+    def offer_socket(self, key: str, address: Address, descriptor: Callable[[], int]) -> None:
         """A listening socket is given to the next process, if it wants one at that address."""
         self.sockets[key] = OfferedSocket(address, descriptor)
 
-    def join(self, takeover: TakeoverResult) -> None:
+    def adopt_channel(self, takeover: TakeoverResult) -> None:
         """From here on this process and the one before report to each other."""
         takeover.channel.setblocking(False)
         descriptor = takeover.channel.fileno()
         reactor.adoptStreamConnection(descriptor, socket.AF_UNIX, ChannelFactory(self, takeover))
         takeover.close()
 
-    def listen(self) -> None:
+    def listen_for_successor(self) -> None:
         """Waits for the next process."""
         self.listener.listen()
 
@@ -122,23 +122,23 @@
     def message_received(self, channel: Channel, message: dict[str, Any]) -> None:
         """A message of the other process. Raises UnfitError."""
         kind = message.get("say")
-        known = channel in self.channels
+        is_open = channel in self.channels
         if kind == MessageKind.TAKEOVER_REQUEST and channel.to_successor:
-            self.give(channel, TakeoverRequest.decode(message))
-        elif kind == MessageKind.LISTENING and known:
+            self.respond_to_takeover(channel, TakeoverRequest.decode(message))
+        elif kind == MessageKind.LISTENING and is_open:
             self.log("upgrade: the next process listens")
-        elif kind == MessageKind.HOLDINGS and known:
+        elif kind == MessageKind.HOLDINGS and is_open:
             self.holdings.report_received(channel, HoldingsReport.decode(message))
-        elif kind == MessageKind.OPERATOR_CALL and known:
-            self.operators.call_received(channel, OperatorCallMessage.decode(message))
-        elif kind == MessageKind.SESSION and known:
+        elif kind == MessageKind.OPERATOR_COMMAND and is_open:
+            self.operators.command_received(channel, OperatorCommandMessage.decode(message))
+        elif kind == MessageKind.SESSION and is_open:
             self.transfer.adopt(channel, SessionMessage.decode(message))
         elif kind == MessageKind.SESSION_ADOPTED and self.transfer.expects_acknowledgement(channel):
             self.transfer.acknowledged(channel)
         else:
             raise InvalidConfigurationError(f"say: {kind!r:.20} is not for now")
 
-    def give(self, channel: Channel, request: TakeoverRequest) -> None:
+    def respond_to_takeover(self, channel: Channel, request: TakeoverRequest) -> None:
         """Gives listening sockets and the state of this process to the next one. Raises UnfitError."""
         if any(each.to_successor for each in self.channels):
             raise InvalidConfigurationError("another process is taking over")
@@ -148,7 +148,7 @@
             if request.addresses.get(key) == address_text(offered.address)
         }
         state = HandoffState.capture(self.proxy, self.discovery).encode()
-        channel.send(TakeoverResponse(FORM, list(given), state), given.values())
+        channel.send(TakeoverResponse(STATE_FORMAT, list(given), state), given.values())
         self.channel_opened(channel)
         if "listen" in given:
             self.accept_clients(False)
@@ -161,9 +161,9 @@
 
     # What the proxy asks, as a `SiblingChannel`.
 
-    def relay_command(self, call: CommandKind, server_id: str) -> bool:
+    def relay_command(self, command: CommandKind, server_id: str) -> bool:
         """Relays an operator command that was carried out here; returns whether it outlives this process."""
-        return self.operators.relay(call, server_id, self.channels)
+        return self.operators.relay(command, server_id, self.channels)
 
     def hand_off(self, client: ClientConnection) -> None:
         """Hands a client off to the next process, if there is one."""
@@ -193,6 +193,6 @@
         if channel.to_successor:
             self.log("upgrade: the next process is gone; accepting clients again")
             self.accept_clients(True)
-            self.listen()
+            self.listen_for_successor()
         else:
             self.log("upgrade: the process before is gone")
--- a/brambleplank/platform/handoff_state.py
+++ b/brambleplank/platform/handoff_state.py
@@ -23,10 +23,19 @@
 from brambleplank.net.proxy import Proxy
 from brambleplank.net.upstream_endpoint import upstream_endpoint_of
 from brambleplank.platform.server_state import ServerState
-from brambleplank.platform.stored_values import address_text, each, items, number, table, texts, two, whole
+from brambleplank.platform.stored_values import (
+    address_text,
+    decode_array,
+    decode_integer,
+    decode_mapping,
+    decode_number,
+    decode_number_pair,
+    decode_object,
+    decode_strings,
+)
 from brambleplank.records import UNREPORTED_POSITION_BITS
 
-FORM = 1
+STATE_FORMAT = 1
 DISPLACED_LIFETIME = 2  # times a planned stop: until then groups that are moved away reconnect
 
 
@@ -54,10 +63,10 @@
     @classmethod
     def decode(cls, stored: Any, key: str) -> GroupServer:
         """Reads the stored form. Raises InvalidConfigurationError, which names the key."""
-        if len(items(stored, key)) != 3:
+        if len(decode_array(stored, key)) != 3:
             raise InvalidConfigurationError(f"{key}: need three values")
         need(stored[1], key, str)
-        return cls(whole(stored[0], key), stored[1], number(stored[2], key))
+        return cls(decode_integer(stored[0], key), stored[1], decode_number(stored[2], key))
 
 
 @dataclass(frozen=True)
@@ -119,10 +128,10 @@
     @classmethod
     def decode(cls, stored: dict[str, Any]) -> RotationState:
         """Reads the stored form. Raises InvalidConfigurationError, which names the key."""
-        outages = each(stored.get("back"), "estate.back", two)
+        outages = decode_mapping(stored.get("back"), "estate.back", decode_number_pair)
         return cls(
-            removed_servers=texts(stored.get("once"), "estate.once"),
-            out_since=each(stored.get("out"), "estate.out", number),
+            removed_servers=decode_strings(stored.get("once"), "estate.once"),
+            out_since=decode_mapping(stored.get("out"), "estate.out", decode_number),
             previous_outages={server_id: Outage(*outage) for server_id, outage in outages.items()},
         )
 
@@ -140,7 +149,7 @@
     draining: bool
     serving: bool
     started_at: float
-    clock_anchor: float | None  # None: it comes from an older release
+    epoch_offset: float | None  # None: it comes from an older release
 
     @classmethod
     def capture(cls, proxy: Proxy) -> LifecycleState:
@@ -153,7 +162,7 @@
             "draining": self.draining,
             "serving": self.serving,
             "started": self.started_at,
-            "clock": self.clock_anchor,
+            "clock": self.epoch_offset,
         }
 
     @classmethod
@@ -164,8 +173,8 @@
         return cls(
             draining=stored["draining"],
             serving=stored["serving"],
-            started_at=number(stored.get("started"), "estate.started"),
-            clock_anchor=number(stored["clock"], "estate.clock") if "clock" in stored else None,
+            started_at=decode_number(stored.get("started"), "estate.started"),
+            epoch_offset=decode_number(stored["clock"], "estate.clock") if "clock" in stored else None,
         )
 
 
@@ -179,10 +188,10 @@
     @classmethod
     def capture(cls, proxy: Proxy) -> BalancerState:
         """The state at this process."""
-        return cls(history=proxy.balancer.history(), group_servers=cls.captured_group_servers(proxy))
+        return cls(history=proxy.balancer.history(), group_servers=cls.capture_group_servers(proxy))
 
     @staticmethod
-    def captured_group_servers(proxy: Proxy) -> list[GroupServer]:
+    def capture_group_servers(proxy: Proxy) -> list[GroupServer]:
         """Groups by ring position: those that other proxies reported, then those displaced here."""
         groups = proxy.balancer.groups
         now = proxy.clock.now()
@@ -210,16 +219,16 @@
     @classmethod
     def decode(cls, stored: dict[str, Any]) -> BalancerState:
         """Reads the stored form. Raises InvalidConfigurationError, which names the key."""
-        learnt = table(stored.get("all"), "estate.all")
-        served, served_at = two(stored.get("served"), "estate.served")
-        groups = items(stored.get("homes"), "estate.homes")
+        all_servers = decode_object(stored.get("all"), "estate.all")
+        served, served_at = decode_number_pair(stored.get("served"), "estate.served")
+        groups = decode_array(stored.get("homes"), "estate.homes")
         return cls(
             history=BalancerHistory(
-                usual_response_time=number(learnt.get("gap"), "estate.all.gap", -1),
-                first_list_at=number(learnt.get("begun"), "estate.all.begun", -1),
+                usual_response_time=decode_number(all_servers.get("gap"), "estate.all.gap", -1),
+                first_list_at=decode_number(all_servers.get("begun"), "estate.all.begun", -1),
                 served=served,
                 served_at=served_at,
-                concurrency_limit=number(stored.get("limit"), "estate.limit"),
+                concurrency_limit=decode_number(stored.get("limit"), "estate.limit"),
             ),
             group_servers=[
                 GroupServer.decode(group, f"estate.homes[{index}]") for index, group in enumerate(groups)
@@ -259,7 +268,7 @@
             start_times={server_id: StartTime(*start) for server_id, start in starts},
             balancer=BalancerState.capture(proxy),
             used_ids=[*proxy.admission.recent_ids, *proxy.admission.open_ids],
-            servers={server.id: ServerState.of(server) for server in proxy.balancer.servers.values()},
+            servers={server.id: ServerState.capture(server) for server in proxy.balancer.servers.values()},
         )
 
     def encode(self) -> dict[str, Any]:
@@ -281,15 +290,15 @@
         Raises InvalidConfigurationError, which names the key; then nothing of it is used.
         """
         need(stored, "estate", dict)
-        starts = each(stored.get("starts", {}), "estate.starts", two)
-        servers = each(stored.get("servers"), "estate.servers", table)
+        starts = decode_mapping(stored.get("starts", {}), "estate.starts", decode_number_pair)
+        servers = decode_mapping(stored.get("servers"), "estate.servers", decode_object)
         return cls(
             endpoints=EndpointListState.decode(stored),
             rotation=RotationState.decode(stored),
             lifecycle=LifecycleState.decode(stored),
             start_times={server_id: StartTime(*start) for server_id, start in starts.items()},
             balancer=BalancerState.decode(stored),
-            used_ids=texts(stored.get("ids"), "estate.ids"),
+            used_ids=decode_strings(stored.get("ids"), "estate.ids"),
             servers={
                 server_id: ServerState.decode(server, f"estate.servers.{server_id:.40}")
                 for server_id, server in servers.items()
@@ -298,8 +307,8 @@
 
     def restore(self, proxy: Proxy, discovery: Discovery) -> None:
         """Sets this process to the state; it has received no list yet."""
-        if self.lifecycle.clock_anchor is not None:
-            proxy.clock.adopt_epoch_offset(self.lifecycle.clock_anchor)
+        if self.lifecycle.epoch_offset is not None:
+            proxy.clock.adopt_epoch_offset(self.lifecycle.epoch_offset)
         proxy.start_times.starts = dict(self.start_times)
         self.rotation.restore(proxy.rotation)
         discovery.apply_initial_list(self.endpoints.encoded_list, self.endpoints.discovery)
@@ -308,12 +317,12 @@
             if server.id in self.servers:
                 self.servers[server.id].restore(server)
         self.balancer.restore(proxy)
-        self.migrate_from_servers_out(proxy)
+        self.migrate_from_servers_out_of_rotation(proxy)
         proxy.admission.reserve_ids(self.used_ids)
         if self.lifecycle.draining:
             proxy.operator_commands.adopt_drain(proxy.clock.now())
 
-    def migrate_from_servers_out(self, proxy: Proxy) -> None:
+    def migrate_from_servers_out_of_rotation(self, proxy: Proxy) -> None:
         """Sessions at servers that are out of rotation are handed off too, and are migrated from there."""
         now = proxy.clock.now()
         for server_id in self.rotation.out_since:
--- a/brambleplank/platform/operator_relay.py
+++ b/brambleplank/platform/operator_relay.py
@@ -9,7 +9,7 @@
 from brambleplank.net.sibling_processes import CommandKind
 from brambleplank.platform.channel import Channel
 from brambleplank.platform.rotation_file import RotationFile
-from brambleplank.platform.upgrade_messages import OperatorCallMessage
+from brambleplank.platform.upgrade_messages import OperatorCommandMessage
 
 REWRITE_DELAY = 0.5  # seconds until the file is written again, after a write that failed
 
@@ -26,15 +26,15 @@
         self.rewriting = False  # whether the file is written again soon
         self.source: Channel | None = None  # whose call is being carried out
 
-    def relay(self, call: CommandKind, server_id: str, channels: Iterable[Channel]) -> bool:
+    def relay(self, command: CommandKind, server_id: str, channels: Iterable[Channel]) -> bool:
         """A call was carried out here: it is written to the file and sent to the other processes.
 
         Returns whether it outlives this process.
         """
-        persisted = self.write() if call in STORED_COMMANDS else True
+        persisted = self.write() if command in STORED_COMMANDS else True
         for channel in channels:
             if channel is not self.source:
-                channel.send(OperatorCallMessage(call, server_id))
+                channel.send(OperatorCommandMessage(command, server_id))
         return persisted
 
     def write(self) -> bool:
@@ -50,26 +50,26 @@
         self.rewriting = False
         self.write()
 
-    def call_received(self, channel: Channel, message: OperatorCallMessage) -> None:
+    def command_received(self, channel: Channel, message: OperatorCommandMessage) -> None:
         """Carries out a call that came to the other process; calls that a later release has are ignored."""
         try:
-            call = CommandKind(message.call)
+            command = CommandKind(message.command)
         except ValueError:
             return
         self.source = channel
         try:
-            self.carry_out(call, message.server_id)
+            self.carry_out(command, message.server_id)
         finally:
             self.source = None
 
-    def carry_out(self, call: CommandKind, server_id: str) -> None:
+    def carry_out(self, command: CommandKind, server_id: str) -> None:
         """Carries out a call at this process."""
         proxy = self.proxy
-        if call in STORED_COMMANDS and server_id not in proxy.rotation.listed:
+        if command in STORED_COMMANDS and server_id not in proxy.rotation.listed:
             # A server that is listed there and not here yet must be known, or the call would bind only one.
             proxy.rotation.apply([unknown_endpoint(server_id)], False)
         commands = proxy.operator_commands
-        match call:
+        match command:
             case CommandKind.TAKE_OUT:
                 commands.take_out_of_rotation(server_id)
             case CommandKind.RETURN:
--- a/brambleplank/platform/rotation_file.py
+++ b/brambleplank/platform/rotation_file.py
@@ -29,8 +29,10 @@
             with open(self.path, encoding="utf-8") as file:
                 content = json.load(file)
             need(content, "words", dict)
-            out = stored_values.each(content.get("out"), "words.out", stored_values.number)
-            back = stored_values.each(content.get("back"), "words.back", stored_values.two)
+            out = stored_values.decode_mapping(content.get("out"), "words.out", stored_values.decode_number)
+            back = stored_values.decode_mapping(
+                content.get("back"), "words.back", stored_values.decode_number_pair
+            )
         except FileNotFoundError:
             return
         except (OSError, ValueError, RecursionError, InvalidConfigurationError) as error:
@@ -48,20 +50,20 @@
 
         Synced before it is renamed: a kill of the machine would otherwise leave an empty file in its place.
         """
-        new = f"{self.path}.{os.getpid()}.new"  # of this process alone, as two may write at once
+        temporary_path = f"{self.path}.{os.getpid()}.new"  # of this process alone, as two may write at once
         try:
-            with open(new, "w", encoding="utf-8") as file:
+            with open(temporary_path, "w", encoding="utf-8") as file:
                 json.dump({"out": rotation.out_since, "back": rotation.previous_outages}, file)
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(new, self.path)
-            sync_folder(os.path.dirname(self.path))
+            os.replace(temporary_path, self.path)
+            sync_directory(os.path.dirname(self.path))
         except OSError as error:
             if not self.failing:
                 self.log(f"operator: {self.path}: not written: {error.strerror}; tried again until it is")
             self.failing = True
             with suppress(OSError):
-                os.unlink(new)
+                os.unlink(temporary_path)
             return False
         if self.failing:
             self.log(f"operator: written: {self.path}")
@@ -69,10 +71,10 @@
         return True
 
 
-def sync_folder(path: str) -> None:
+def sync_directory(path: str) -> None:
     """Makes a rename in this folder last. Raises OSError."""
-    folder = os.open(path or ".", os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    directory = os.open(path or ".", os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
--- a/brambleplank/platform/run.py
+++ b/brambleplank/platform/run.py
@@ -51,11 +51,11 @@
             LogWriter(clock.now),
             config.settings,
             config.seed,
-            config.descriptors,
+            config.descriptor_limit,
             PingProbe,
         )
         self.proxy.set_drained_callback(self.end)
-        self.limit_descriptors(config.descriptors)
+        self.limit_descriptors(config.descriptor_limit)
         self.handoff: Handoff | None = None  # between the processes of this proxy, where there may be several
         self.client_port: Any = None
         self.peer_port: Any = None  # that this process stops reading once the next one has it
@@ -105,13 +105,13 @@
         peers = self.configuration.peers
         if peers is None:
             return None
-        shared = self.configuration.operators is not None
+        shared = self.configuration.operator_address is not None
         return listen_for_peers(self.proxy, peers.listen, adopted, shared, max_wait)
 
     def begin(self) -> None:
         """Starts the proxy where no operator calls."""
         self.listen_for_peers(None)
-        self.discovery.apply_initial_list(self.configuration.known)
+        self.discovery.apply_initial_list(self.configuration.initial_list)
         self.client_port = listen_for_clients(self.proxy, self.configuration.listen, None, False)
 
     def begin_with_operators(self, operators: Address) -> None:
@@ -123,25 +123,25 @@
         listen = self.configuration.listen
         result: TakeoverResult | None = None
         if tmp:
-            path = socket_path.place(tmp, listen, "sock")
+            path = socket_path.runtime_file_path(tmp, listen, "sock")
             result = takeover.request(path, self.addresses(operators), self.proxy.log)
             self.handoff = handoff.Handoff(self.proxy, self.discovery, tmp, listen, self.accept_clients)
 
-        def adopted(key: str) -> socket.socket | None:
-            return result.adopt(key) if result else None
+        def adopted_socket(key: str) -> socket.socket | None:
+            return result.take_socket(key) if result else None
 
-        self.peer_port = self.listen_for_peers(adopted("peer_listen"))
+        self.peer_port = self.listen_for_peers(adopted_socket("peer_listen"))
         if self.handoff is None or not self.handoff.restore(result):
-            self.discovery.apply_initial_list(self.configuration.known)
-        self.client_port = listen_for_clients(self.proxy, listen, adopted("listen"), True)
-        operator_port = listen_for_operators(self.proxy, operators, adopted("mgmt"))
+            self.discovery.apply_initial_list(self.configuration.initial_list)
+        self.client_port = listen_for_clients(self.proxy, listen, adopted_socket("listen"), True)
+        operator_port = listen_for_operators(self.proxy, operators, adopted_socket("mgmt"))
         if self.handoff is not None:
             ports = {"listen": self.client_port, "mgmt": operator_port, "peer_listen": self.peer_port}
             for key, address in self.addresses(operators).items():
-                self.handoff.offer(key, address, ports[key].fileno)
+                self.handoff.offer_socket(key, address, ports[key].fileno)
             if result:
-                self.handoff.join(result)
-            self.handoff.listen()
+                self.handoff.adopt_channel(result)
+            self.handoff.listen_for_successor()
 
     def addresses(self, operators: Address) -> dict[str, Address]:
         """Where this proxy listens, by key of the configuration."""
@@ -174,16 +174,16 @@
         """
         try:
             config = configuration.read(self.configuration)
-        except InvalidConfigurationError as unfit:
-            self.proxy.log(f"reload: kept as it was: {unfit}")
+        except InvalidConfigurationError as invalid:
+            self.proxy.log(f"reload: kept as it was: {invalid}")
             return
         previous = self.configuration
         self.proxy.log(f"reload: {describe_changes(previous.file, config.file)}")
         self.configuration = config
         if config.settings != previous.settings:
             self.proxy.update_settings(config.settings)
-        if config.descriptors != previous.descriptors:
-            self.limit_descriptors(config.descriptors)
+        if config.descriptor_limit != previous.descriptor_limit:
+            self.limit_descriptors(config.descriptor_limit)
         self.reload_peers()
         if config.discovery != previous.discovery:
             self.discovery.change_address(config.discovery)
@@ -196,9 +196,9 @@
             return
         try:
             self.listen_for_peers(None, max_wait=0.0)  # a wait would hold up every client
-        except error.CannotListenError as cannot:
+        except error.CannotListenError as failure:
             self.proxy.peer_exchange.set_link(None)
-            self.proxy.log(f"reload: peer_listen: {cannot.socketError}: proxies say nothing to each other")
+            self.proxy.log(f"reload: peer_listen: {failure.socketError}: proxies say nothing to each other")
 
 
 def main() -> int:
@@ -210,21 +210,23 @@
         config = configuration.read()
         program = Program(config)
         signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(program.proxy.stop))
-        if config.operators:
-            program.begin_with_operators(config.operators)
+        if config.operator_address:
+            program.begin_with_operators(config.operator_address)
         else:
             program.begin()
-    except InvalidConfigurationError as unfit:
-        print(f"brambleplank: {unfit}", file=sys.stderr)
+    except InvalidConfigurationError as invalid:
+        print(f"brambleplank: {invalid}", file=sys.stderr)
         return INVALID_CONFIGURATION
-    except error.CannotListenError as cannot:
-        address = (cannot.interface, cannot.port)
+    except error.CannotListenError as failure:
+        address = (failure.interface, failure.port)
         key = "peer_listen"
         if address == config.listen:
             key = "listen"
-        elif address == config.operators:
+        elif address == config.operator_address:
             key = "mgmt"
-        print(f"brambleplank: {key}: {cannot.interface}:{cannot.port}: {cannot.socketError}", file=sys.stderr)
+        print(
+            f"brambleplank: {key}: {failure.interface}:{failure.port}: {failure.socketError}", file=sys.stderr
+        )
         return INVALID_CONFIGURATION
     log_unhandled_exceptions(program.proxy)
     early_reload.install(program.reload)
--- a/brambleplank/platform/stored_values.py
+++ b/brambleplank/platform/stored_values.py
@@ -11,47 +11,47 @@
 Value = TypeVar("Value")
 
 
-def number(value: Any, key: str, least: float = 0) -> float:
-    """A number of at least so much."""
-    need(value, key, float, least)
+def decode_number(value: Any, key: str, minimum: float = 0) -> float:
+    """A number of at least `minimum`."""
+    need(value, key, float, minimum)
     return float(value)
 
 
-def whole(value: Any, key: str) -> int:
+def decode_integer(value: Any, key: str) -> int:
     """A whole number of -1 or more."""
     need(value, key, int, -1)
     return int(value)
 
 
-def table(value: Any, key: str) -> dict[str, Any]:
+def decode_object(value: Any, key: str) -> dict[str, Any]:
     """A JSON object."""
     need(value, key, dict)
     return dict(value)
 
 
-def items(value: Any, key: str) -> list[Any]:
+def decode_array(value: Any, key: str) -> list[Any]:
     """A JSON array."""
     need(value, key, list)
     return list(value)
 
 
-def texts(value: Any, key: str) -> list[str]:
+def decode_strings(value: Any, key: str) -> list[str]:
     """A JSON array of strings."""
-    for text in items(value, key):
+    for text in decode_array(value, key):
         need(text, key, str)
     return list(value)
 
 
-def two(value: Any, key: str) -> tuple[float, float]:
+def decode_number_pair(value: Any, key: str) -> tuple[float, float]:
     """A pair of numbers."""
-    if len(items(value, key)) != 2:
+    if len(decode_array(value, key)) != 2:
         raise InvalidConfigurationError(f"{key}: need two numbers")
-    return number(value[0], key), number(value[1], key)
+    return decode_number(value[0], key), decode_number(value[1], key)
 
 
-def each(value: Any, key: str, kind: Callable[[Any, str], Value]) -> dict[str, Value]:
+def decode_mapping(value: Any, key: str, kind: Callable[[Any, str], Value]) -> dict[str, Value]:
     """A JSON object whose values are all of one kind."""
-    return {name: kind(item, f"{key}.{name:.40}") for name, item in table(value, key).items()}
+    return {name: kind(item, f"{key}.{name:.40}") for name, item in decode_object(value, key).items()}
 
 
 def address_text(address: Address) -> str:
--- a/brambleplank/platform/takeover.py
+++ b/brambleplank/platform/takeover.py
@@ -12,7 +12,7 @@
 from brambleplank.model import Address
 from brambleplank.net.local_faults import retry_transient
 from brambleplank.platform import upgrade_messages
-from brambleplank.platform.handoff_state import FORM, HandoffState
+from brambleplank.platform.handoff_state import STATE_FORMAT, HandoffState
 from brambleplank.platform.socket_path import ShortSocketPath
 from brambleplank.platform.stored_values import address_text
 from brambleplank.platform.upgrade_messages import TakeoverRequest, TakeoverResponse
@@ -33,7 +33,7 @@
     bytes_after_answer: bytes = b""  # what the process before sent meanwhile
     unassigned_descriptors: list[int] = field(default_factory=list)  # that came along, ahead of their message
 
-    def adopt(self, key: str) -> socket.socket | None:
+    def take_socket(self, key: str) -> socket.socket | None:
         """The listening socket of that key, if it came; it is the caller's from here on."""
         return self.sockets.pop(key, None)
 
@@ -83,7 +83,7 @@
         channel.settimeout(TIMEOUT)
         channel.connect(short_path)
     addresses = {key: address_text(address) for key, address in wanted.items()}
-    channel.sendall(upgrade_messages.encode(TakeoverRequest(FORM, addresses).encode()))
+    channel.sendall(upgrade_messages.encode(TakeoverRequest(STATE_FORMAT, addresses).encode()))
 
 
 def receive_response(channel: socket.socket, descriptors: list[int]) -> tuple[TakeoverResponse, bytes]:
@@ -125,6 +125,6 @@
 
 def state_of(response: TakeoverResponse) -> HandoffState:
     """The state in an answer. Raises UnfitError where it cannot be read."""
-    if response.form != FORM:
-        raise InvalidConfigurationError(f"form {response.form!r:.20}, not {FORM}")
+    if response.state_format != STATE_FORMAT:
+        raise InvalidConfigurationError(f"form {response.state_format!r:.20}, not {STATE_FORMAT}")
     return HandoffState.decode(response.state)
--- a/brambleplank/platform/upgrade_messages.py
+++ b/brambleplank/platform/upgrade_messages.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 from typing import Any, Protocol
 
-from brambleplank.platform.stored_values import each, table, texts, whole
+from brambleplank.platform.stored_values import decode_integer, decode_mapping, decode_object, decode_strings
 
 MAX_LINE = 16 * 1024 * 1024  # bytes
 MAX_SOCKETS = 4  # listening sockets that are handed off
@@ -23,7 +23,7 @@
     TAKEOVER_RESPONSE = "estate"  # old to new, with the listening sockets
     LISTENING = "here"  # new to old
     HOLDINGS = "holds"  # either, as they change
-    OPERATOR_CALL = "word"  # either
+    OPERATOR_COMMAND = "word"  # either
     SESSION = "flow"  # old to new, as the old one leaves; its sockets come along
     SESSION_ADOPTED = "had"  # new to old, for each session
 
@@ -39,24 +39,24 @@
 class TakeoverRequest:
     """The new process asks for listening sockets and state."""
 
-    form: Any  # of the state that it reads
+    state_format: Any  # of the state that it reads
     addresses: dict[str, Any]  # at which it wants to listen, as text, by key of the configuration
 
     def encode(self) -> dict[str, Any]:
         """The message as a JSON object."""
-        return {"say": MessageKind.TAKEOVER_REQUEST, "form": self.form, "names": self.addresses}
+        return {"say": MessageKind.TAKEOVER_REQUEST, "form": self.state_format, "names": self.addresses}
 
     @classmethod
     def decode(cls, message: dict[str, Any]) -> TakeoverRequest:
         """Raises UnfitError, which names the key."""
-        return cls(message.get("form"), table(message.get("names"), "names"))
+        return cls(message.get("form"), decode_object(message.get("names"), "names"))
 
 
 @dataclass(frozen=True)
 class TakeoverResponse:
     """What the old process gives. Its state is checked by who restores it: sockets are good without it."""
 
-    form: Any
+    state_format: Any
     sockets: list[str]  # keys of the listening sockets that come along, in their order
     state: Any  # the stored form of `HandoffState`
 
@@ -64,7 +64,7 @@
         """The message as a JSON object."""
         return {
             "say": MessageKind.TAKEOVER_RESPONSE,
-            "form": self.form,
+            "form": self.state_format,
             "sockets": self.sockets,
             "estate": self.state,
         }
@@ -72,7 +72,7 @@
     @classmethod
     def decode(cls, message: dict[str, Any]) -> TakeoverResponse:
         """Raises UnfitError, which names the key."""
-        sockets = texts(message.get("sockets"), "sockets")
+        sockets = decode_strings(message.get("sockets"), "sockets")
         return cls(message.get("form"), sockets, message.get("estate"))
 
 
@@ -108,29 +108,29 @@
     def decode(cls, message: dict[str, Any]) -> HoldingsReport:
         """Raises UnfitError, which names the key."""
         return cls(
-            descriptors=whole(message.get("descriptors"), "descriptors"),
-            connections=each(message.get("held"), "held", whole),
-            attempts=each(message.get("sent"), "sent", whole),
-            request_ids=texts(message.get("ids"), "ids"),
+            descriptors=decode_integer(message.get("descriptors"), "descriptors"),
+            connections=decode_mapping(message.get("held"), "held", decode_integer),
+            attempts=decode_mapping(message.get("sent"), "sent", decode_integer),
+            request_ids=decode_strings(message.get("ids"), "ids"),
         )
 
 
 @dataclass(frozen=True)
-class OperatorCallMessage:
+class OperatorCommandMessage:
     """What an operator called for at the process that sends it."""
 
-    call: str  # a `CommandKind`, or one of a later release
+    command: str  # a `CommandKind`, or one of a later release
     server_id: str  # empty where the call is for no single server
 
     def encode(self) -> dict[str, Any]:
         """The message as a JSON object."""
-        return {"say": MessageKind.OPERATOR_CALL, "what": self.call, "server": self.server_id}
+        return {"say": MessageKind.OPERATOR_COMMAND, "what": self.command, "server": self.server_id}
 
     @classmethod
-    def decode(cls, message: dict[str, Any]) -> OperatorCallMessage:
+    def decode(cls, message: dict[str, Any]) -> OperatorCommandMessage:
         """Raises UnfitError."""
-        call, server_id = texts([message.get("what"), message.get("server")], "word")
-        return cls(call, server_id)
+        command, server_id = decode_strings([message.get("what"), message.get("server")], "word")
+        return cls(command, server_id)
 
 
 @dataclass(frozen=True)
@@ -147,7 +147,7 @@
     @classmethod
     def decode(cls, message: dict[str, Any]) -> SessionMessage:
         """Raises UnfitError, which names the key."""
-        return cls(message.get("flow"), whole(message.get("sockets"), "sockets"))
+        return cls(message.get("flow"), decode_integer(message.get("sockets"), "sockets"))
 
 
 @dataclass(frozen=True)
--- a/tests/test_golden_forms.py
+++ b/tests/test_golden_forms.py
@@ -146,7 +146,7 @@
         MessageKind.TAKEOVER_RESPONSE,
         MessageKind.LISTENING,
         MessageKind.HOLDINGS,
-        MessageKind.OPERATOR_CALL,
+        MessageKind.OPERATOR_COMMAND,
         MessageKind.SESSION,
         MessageKind.SESSION_ADOPTED,
     ]
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -69,7 +69,7 @@
         }
         self.told = configuration.decode(config)
         self.program = Program(self.told)
-        self.program.discovery.apply_initial_list(self.told.known)
+        self.program.discovery.apply_initial_list(self.told.initial_list)
         self.proxy = self.program.proxy
         self.balancer = self.proxy.balancer
         # Nothing that is reported of a server is too much to be believed.
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -208,7 +208,7 @@
 def old(self, channel, request):
     channel.transport.write({answer!r})
     {then}
-handoff.Handoff.give = old
+handoff.Handoff.respond_to_takeover = old
 """
 
 
@@ -242,12 +242,12 @@
 def test_messages_right_after_the_takeover_answer_are_read(start_program: StartProgram) -> None:
     patch = """
 from brambleplank.platform import handoff
-give = handoff.Handoff.give
+respond = handoff.Handoff.respond_to_takeover
 def at_once(self, channel, request):
-    give(self, channel, request)
+    respond(self, channel, request)
     self.report_holdings()
     self.proxy.operator_commands.take_out_of_rotation("s0")
-handoff.Handoff.give = at_once
+handoff.Handoff.respond_to_takeover = at_once
 """
     program = ready(first(start_program, StandInServer("UP one"), StandInServer("UP other"), patch=patch))
     new = ready(program.upgrade())
