--- a/brambleplank/__main__.py
+++ b/brambleplank/__main__.py
@@ -1,9 +1,10 @@
-"""`python -m brambleplank`: one proxy, as `ROUTER_CONFIG` describes it."""
+"""`python -m brambleplank`: runs one proxy with the configuration file that `ROUTER_CONFIG` names."""
 
 import signal
 import sys
 
-# Both may come amid the imports. A new configuration is read after them all the same.
+# Either signal may arrive during the imports. An ignored SIGHUP loses nothing:
+# the configuration is read after them.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
--- a/brambleplank/platform/__init__.py
+++ b/brambleplank/platform/__init__.py
@@ -1,1 +1,1 @@
-"""One proxy as the platform starts it: its JSON, its signals, its exit code."""
+"""The proxy as a program of the platform: JSON configuration, signals, exit code and upgrades."""
--- a/brambleplank/platform/channel.py
+++ b/brambleplank/platform/channel.py
@@ -1,4 +1,4 @@
-"""One end of the channel between two processes of one proxy, over a Unix socket."""
+"""The channel between two processes of one proxy: JSON lines and descriptors over a Unix socket."""
 
 from __future__ import annotations
 
@@ -20,16 +20,19 @@
 
 
 class ChannelOwner(Protocol):
-    """What a channel needs of this process."""
+    """Callbacks of a channel."""
 
     def channel_opened(self, channel: Channel) -> None:
-        """Both processes know each other from here on."""
+        """Called when the predecessor has answered this process, before any message arrives."""
 
     def message_received(self, channel: Channel, message: dict[str, Any]) -> None:
-        """A message of the other process. Raises UnfitError if it is not one."""
+        """Called for each message of the other process.
+
+        Raises InvalidConfigurationError if it is invalid or unexpected.
+        """
 
     def channel_closed(self, channel: Channel) -> None:
-        """The other process has ended, or closed the channel."""
+        """Called when the other process has ended or has closed the channel."""
 
     def log(self, text: str) -> None:
         """Writes a line for operators."""
@@ -37,7 +40,7 @@
 
 @implementer(IFileDescriptorReceiver)
 class Channel(LineReceiver):
-    """`takeover` is what the process before gave; None if the other process is the next one."""
+    """One end of a channel; `takeover` is the result of the request, or None if the peer is the successor."""
 
     delimiter = b"\n"
     MAX_LENGTH = upgrade_messages.MAX_LINE
@@ -49,52 +52,54 @@
         self.to_successor = takeover is None
         self.received_descriptors = (
             takeover.unassigned_descriptors if takeover else []
-        )  # ahead of their message
+        )  # their message has not arrived yet
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Tells the process before that this one listens, and reads what followed its answer."""
+        """Reports to the predecessor that this process listens; handles what followed its answer."""
         if self.takeover:
             self.send(Listening())
             self.owner.channel_opened(self)
             self.dataReceived(self.takeover.bytes_after_answer)  # type: ignore[no-untyped-call]
 
     def send(self, message: Message, descriptors: Iterable[int] = ()) -> None:
-        """Sends a message; the descriptors go ahead of it."""
+        """Sends descriptors, then the message that they belong to."""
         for descriptor in descriptors:
             self.transport.sendFileDescriptor(descriptor)
         self.transport.write(upgrade_messages.encode(message.encode()))
 
     def take_descriptors(self, count: int) -> list[int]:
-        """Returns that many descriptors, or as many as came, oldest first; the caller owns them."""
+        """Returns the oldest `count` descriptors, or fewer if fewer have arrived; the caller owns them."""
         taken = self.received_descriptors[:count]
         self.received_descriptors = self.received_descriptors[count:]
         return taken
 
     def fileDescriptorReceived(self, descriptor: int) -> None:  # noqa: N802
-        """Keeps a descriptor for the message that follows it."""
+        """Stores a descriptor until its message arrives."""
         os.set_inheritable(descriptor, False)
         self.received_descriptors.append(descriptor)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Passes a message on, or closes the channel to a process that sends none."""
+        """Decodes a line and passes the message to the owner; closes the channel if it is invalid."""
         try:
             self.owner.message_received(self, upgrade_messages.decode(line))
         except (ValueError, RecursionError, InvalidConfigurationError) as error:
-            self.owner.log(f"upgrade: the other process says {line[:60]!r}: {error}")
+            self.owner.log(
+                f"upgrade: channel closed: invalid message {line[:60]!r} from the other process: {error}"
+            )
             self.transport.loseConnection()
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802, ARG002
-        """Closes the channel."""
+        """Closes the channel: the other process sent a line longer than MAX_LENGTH."""
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, ARG002
-        """Closes descriptors whose message never came."""
+        """Closes descriptors whose message has not arrived."""
         session_transfer.close_descriptors(self.received_descriptors)
         self.owner.channel_closed(self)
 
 
 class ChannelFactory(Factory):
-    """Makes a channel for each connection."""
+    """Creates channels."""
 
     noisy = False
 
@@ -103,5 +108,5 @@
         self.takeover = takeover
 
     def buildProtocol(self, addr: object) -> Channel:  # noqa: N802, ARG002
-        """Makes the channel of one connection."""
+        """Creates the channel of one connection."""
         return Channel(self.owner, self.takeover)
--- a/brambleplank/platform/configuration.py
+++ b/brambleplank/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the one place where it is read and checked, at the start and on SIGHUP."""
+"""Reads and checks the platform's configuration file, at the start and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -24,31 +24,31 @@
 
 @dataclass(frozen=True)
 class PeerConfiguration:
-    """Where the other proxies of a site are, and where this one receives their datagrams."""
+    """Addresses for datagrams between the proxies of a site."""
 
     listen: Address
-    broadcast: Address  # what is sent there reaches all of them
-    numbers: dict[Address, int]  # of each proxy
+    broadcast: Address  # reaches all of them
+    numbers: dict[Address, int]  # proxy numbers by address
 
 
 @dataclass(frozen=True)
 class PlatformConfiguration:
-    """What one proxy is configured to do, as of its start or the last reload."""
+    """The configuration of one proxy, as of its start or its last successful reload."""
 
     listen: Address
     discovery: Address
     seed: int
-    descriptor_limit: int  # that the proxy may open
-    peers: PeerConfiguration | None  # None where proxies may not talk to each other
-    operator_address: Address | None  # where operators call, if anywhere
-    initial_list: dict[str, Any]  # the endpoint list to begin with, in discovery's form
+    descriptor_limit: int  # descriptors that the proxy may use
+    peers: PeerConfiguration | None  # None if proxies exchange no messages
+    operator_address: Address | None  # of the management interface, if there is one
+    initial_list: dict[str, Any]  # used until discovery answers, in its format
     settings: Settings
-    file: dict[str, Any]  # as it was read
-    fleet: FleetSettings | None = None  # what the proxy shares with other processes, where the key is given
+    file: dict[str, Any]  # the JSON object that was read
+    fleet: FleetSettings | None = None  # budgets and routes shared with other processes, if any
 
 
 def read(previous: PlatformConfiguration | None = None) -> PlatformConfiguration:
-    """Reads the file that ROUTER_CONFIG names; `previous` is what a reload replaces.
+    """Reads the file that ROUTER_CONFIG names; `previous` is the configuration that a reload replaces.
 
     Raises InvalidConfigurationError.
     """
@@ -63,12 +63,12 @@
     except (ValueError, RecursionError) as error:
         raise InvalidConfigurationError(f"ROUTER_CONFIG: {path} is not JSON: {error}") from None
     if not isinstance(content, dict):
-        raise InvalidConfigurationError(f"ROUTER_CONFIG: {path} holds no JSON object")
+        raise InvalidConfigurationError(f"ROUTER_CONFIG: {path} does not hold a JSON object")
     return decode(content, previous)
 
 
 def decode(file: dict[str, Any], previous: PlatformConfiguration | None = None) -> PlatformConfiguration:
-    """Decodes a file and the environment; `previous` is what a reload replaces.
+    """Decodes a configuration file and the environment; `previous` is what a reload replaces.
 
     Raises InvalidConfigurationError.
     """
@@ -85,7 +85,7 @@
     discovery = address(discovery_address(file, previous), "discovery")
     peers = None
     if settings.may_message_peers and file.get("peer_listen") is not None:
-        # The peers are of this kind, in the order of their own numbers; the other kind may be numbered first.
+        # `peers` lists the proxies of this kind by slot; those of the other kind may have the lower numbers.
         first_number = settings.proxy_number - raw_settings["slot_no"]
         peers = PeerConfiguration(
             listen=address(file["peer_listen"], "peer_listen"),
@@ -112,11 +112,11 @@
     """Raises InvalidConfigurationError unless the proxy has a name."""
     name = os.environ.get("ROUTER_NAME") or file.get("name")
     if not isinstance(name, str) or not name:
-        raise InvalidConfigurationError("name: need a word")
+        raise InvalidConfigurationError("name: need a non-empty string, here or in ROUTER_NAME")
 
 
 def decode_seed(file: dict[str, Any]) -> int:
-    """The seed of the proxy's random numbers. Raises InvalidConfigurationError."""
+    """Returns the seed of the proxy's random numbers. Raises InvalidConfigurationError."""
     try:
         return int(str(file.get("seed", "")), 16)
     except ValueError:
@@ -126,7 +126,7 @@
 
 
 def decode_descriptor_limit(file: dict[str, Any]) -> int:
-    """How many descriptors the proxy may open. Raises InvalidConfigurationError."""
+    """Returns how many descriptors the proxy may use. Raises InvalidConfigurationError."""
     limits = file.get("limits", {})
     if not isinstance(limits, dict):
         raise InvalidConfigurationError(f"limits: need an object, not {limits!r:.60}")
@@ -139,17 +139,22 @@
 
 
 def decode_initial_list(file: dict[str, Any]) -> dict[str, Any]:
-    """The endpoint list to begin with. Raises InvalidConfigurationError."""
-    known = file.get("known", EMPTY_LIST)
+    """Returns the endpoint list under the key `known`. Raises InvalidConfigurationError."""
+    initial_list = file.get("known", EMPTY_LIST)
     try:
-        decode_list(known)
+        decode_list(initial_list)
     except MalformedListError as error:
-        raise InvalidConfigurationError(f"known: not a list of servers: {error}") from None
-    return dict(known)
+        raise InvalidConfigurationError(
+            f"known: need an endpoint list as discovery sends it: {error}"
+        ) from None
+    return dict(initial_list)
 
 
 def settings_to_apply(file: dict[str, Any], previous: PlatformConfiguration | None) -> dict[str, Any]:
-    """The settings of a file; those that take a restart are as before. Raises InvalidConfigurationError."""
+    """Returns the settings of a file; on a reload, those that need a restart keep their previous value.
+
+    Raises InvalidConfigurationError.
+    """
     check_settings(file.get("settings"))
     if previous is None:
         return dict(file["settings"])
@@ -162,12 +167,14 @@
     try:
         return decode_settings(raw_settings, sockets=True)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        # A kind of value that no check foresees would end the program, or a reload, in a traceback.
-        raise InvalidConfigurationError(f"settings: {type(error).__name__} {error}") from None
+        # Without this, a value that no check covers would end the start, or a reload, with a traceback.
+        raise InvalidConfigurationError(
+            f"settings: cannot be decoded: {type(error).__name__}: {error}"
+        ) from None
 
 
 def decode_peer_addresses(file: dict[str, Any]) -> list[Address]:
-    """The addresses of the proxies of this kind, by their own numbers. Raises InvalidConfigurationError."""
+    """Returns the addresses of the proxies of this kind, by slot. Raises InvalidConfigurationError."""
     peers = file.get("peers", [])
     if not isinstance(peers, list):
         raise InvalidConfigurationError(f"peers: need a list of addresses, not {peers!r:.60}")
@@ -175,10 +182,10 @@
 
 
 def discovery_address(file: dict[str, Any], previous: PlatformConfiguration | None) -> Any:
-    """Where discovery is, unchecked.
+    """Returns the unchecked address of discovery.
 
-    On a reload the environment does not count: it stays as it was at the start, and would hide what the
-    file says now.
+    A reload ignores the environment, which cannot change after the start and would override a new address
+    in the file.
     """
     if previous is None:
         return os.environ.get("ROUTER_DISCOVERY") or file.get("discovery")
@@ -190,29 +197,33 @@
 def decode_fleet(
     file: dict[str, Any], settings: Settings, members: int, operators: bool
 ) -> FleetSettings | None:
-    """What the key `fleet` says; None without it, and then nothing of it is imported.
+    """Decodes the key `fleet`; returns None, and imports nothing of the fleet, if it is absent.
 
     Raises InvalidConfigurationError.
     """
     if file.get("fleet") is None:
         return None
     if operators:
-        raise InvalidConfigurationError("fleet: not with mgmt: two processes of one number would be there")
+        raise InvalidConfigurationError(
+            "fleet: not with mgmt: during an upgrade two processes would be members with the same number"
+        )
     if not members:
-        raise InvalidConfigurationError("fleet: not without peers: it speaks by peer_listen and peers")
+        raise InvalidConfigurationError(
+            "fleet: not without peers: members exchange datagrams over peer_listen and peers"
+        )
     try:
         from brambleplank.fleet import shapes
         from brambleplank.tables import DocumentReader
     except ImportError as error:
         raise InvalidConfigurationError(
-            f"fleet: needs {error.name}; install requirements-sidecar.txt"
+            f"fleet: needs the Python module {error.name}; install requirements-sidecar.txt"
         ) from None
     reading = DocumentReader.of({"fleet": file["fleet"]})
     table = reading.decode(shapes.Fleet, file["fleet"], ("fleet",))
     if not reading.faults:
         if table.listen or table.members:
             raise InvalidConfigurationError(
-                "fleet.members: here they are the peers; leave listen and members out"
+                "fleet.members: the members are those of peers; remove fleet.listen and fleet.members"
             )
         shapes.judge(reading, table, settings.traffic_classes, settings.tenants, ("fleet",))
     if reading.faults:
--- a/brambleplank/platform/run.py
+++ b/brambleplank/platform/run.py
@@ -1,4 +1,4 @@
-"""One proxy, from the platform's configuration to its exit code."""
+"""Runs one proxy of the platform: reads its configuration, starts it and returns its exit code."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
     from brambleplank.platform.handoff import Handoff
     from brambleplank.platform.takeover import TakeoverResult
 
-INVALID_CONFIGURATION = 2  # exit code, also where an address cannot be listened at
+INVALID_CONFIGURATION = 2  # exit code; also if the proxy cannot listen on one of its addresses
 NO_ADDRESS: Address = ("", 0)
 
 
 class Program:
-    """A proxy of the platform, with its configuration."""
+    """A proxy with its configuration, its listening ports and its handoff to other processes."""
 
     def __init__(self, config: PlatformConfiguration) -> None:
         self.configuration = config
@@ -56,9 +56,9 @@
         )
         self.proxy.set_drained_callback(self.end)
         self.limit_descriptors(config.descriptor_limit)
-        self.handoff: Handoff | None = None  # between the processes of this proxy, where there may be several
+        self.handoff: Handoff | None = None  # only with operators and TMPDIR: then upgrades are possible
         self.client_port: Any = None
-        self.peer_port: Any = None  # that this process stops reading once the next one has it
+        self.peer_port: Any = None  # not read while a successor reads its copy
         self.discovery = Discovery(self.proxy, config.discovery)
         self.proxy.set_endpoint_source(self.discovery)
         self.connect_peers(config.peers)
@@ -68,7 +68,10 @@
             join_fleet(self.proxy, config.fleet, config.seed)
 
     def limit_descriptors(self, wanted: int) -> None:
-        """The proxy counts on no more than the process may open: with none to spare it accepts nobody."""
+        """Limits the proxy to the descriptors that this process may open.
+
+        A proxy that expected more would run out of descriptors and could accept no client.
+        """
         allowed = raise_descriptor_limit(wanted)
         if allowed < wanted:
             reason = f"RLIMIT_NOFILE lets this process open {allowed} at most"
@@ -76,7 +79,7 @@
         self.proxy.admission.set_descriptor_limit(allowed)
 
     def connect_peers(self, peers: PeerConfiguration | None) -> bool:
-        """Sets which proxies this one talks to; returns whether it did not talk to any before."""
+        """Sets the proxies to exchange messages with; returns whether a new peer link was created."""
         proxy = self.proxy
         broadcast = peers.broadcast if peers else NO_ADDRESS
         numbers = peers.numbers if peers else {}
@@ -101,7 +104,7 @@
         return True
 
     def listen_for_peers(self, adopted: socket.socket | None, max_wait: float = MAX_WAIT) -> Any:
-        """Returns the port at which datagrams of other proxies arrive; None where there are none."""
+        """Returns the port that receives datagrams of other proxies, or None if no peers are configured."""
         peers = self.configuration.peers
         if peers is None:
             return None
@@ -109,14 +112,14 @@
         return listen_for_peers(self.proxy, peers.listen, adopted, shared, max_wait)
 
     def begin(self) -> None:
-        """Starts the proxy where no operator calls."""
+        """Starts a proxy that has no address for operator commands."""
         self.listen_for_peers(None)
         self.discovery.apply_initial_list(self.configuration.initial_list)
         self.client_port = listen_for_clients(self.proxy, self.configuration.listen, None, False)
 
     def begin_with_operators(self, operators: Address) -> None:
-        """Starts the proxy where operators call, and where a process of this proxy may run already."""
-        # Imported only here: a proxy without operators does without all of it.
+        """Starts a proxy with an address for operator commands; takes over from a running process, if any."""
+        # Imported here, so that a proxy without an operator address does not load these modules.
         from brambleplank.platform import handoff, socket_path, takeover
 
         tmp = os.environ.get("TMPDIR")
@@ -144,14 +147,14 @@
             self.handoff.listen_for_successor()
 
     def addresses(self, operators: Address) -> dict[str, Address]:
-        """Where this proxy listens, by key of the configuration."""
+        """Returns the addresses on which this proxy listens, by key of the configuration."""
         found = {"listen": self.configuration.listen, "mgmt": operators}
         if self.configuration.peers:
             found["peer_listen"] = self.configuration.peers.listen
         return found
 
     def accept_clients(self, accept: bool) -> None:
-        """Clients, and datagrams of other proxies, come to this process, or to the next one."""
+        """Sets whether this process, or its successor, accepts clients and reads datagrams of proxies."""
         self.proxy.siblings.set_has_successor(not accept)
         self.client_port.set_handed_off(not accept)
         if self.peer_port is None:
@@ -162,15 +165,15 @@
             self.peer_port.stopReading()
 
     def end(self) -> None:
-        """Ends the process; the proxy is drained."""
+        """Ends the process; called when the proxy is drained."""
         if self.handoff is not None:
             self.handoff.end()
         reactor.stop()
 
     def reload(self) -> None:
-        """Reads the file again on SIGHUP, and applies what can change while sessions are established.
+        """Reads the configuration file again on SIGHUP and applies the keys that need no restart.
 
-        A torn or wrong file changes nothing.
+        A truncated or invalid file changes nothing.
         """
         try:
             config = configuration.read(self.configuration)
@@ -191,19 +194,22 @@
             self.proxy.requests.fleet_admission.reload()
 
     def reload_peers(self) -> None:
-        """Talks to the proxies of the configuration from here on."""
+        """Applies the peers of the new configuration."""
         if not self.connect_peers(self.configuration.peers):
             return
         try:
-            self.listen_for_peers(None, max_wait=0.0)  # a wait would hold up every client
+            self.listen_for_peers(None, max_wait=0.0)  # waiting would block the reactor, and every client
         except error.CannotListenError as failure:
             self.proxy.peer_exchange.set_link(None)
-            self.proxy.log(f"reload: peer_listen: {failure.socketError}: proxies say nothing to each other")
+            self.proxy.log(
+                f"reload: peer_listen: {failure.socketError}; "
+                "no messages are exchanged with peers until a later reload succeeds"
+            )
 
 
 def main() -> int:
     """Runs the proxy until it is drained; returns the exit code."""
-    # A signal before all is set up would end the process, over clients in the kernel's queue from there on.
+    # Until the reactor handles signals, their default action would drop clients in the accept queue.
     early_reload = EarlyReload()
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
     try:
@@ -225,7 +231,9 @@
         elif address == config.operator_address:
             key = "mgmt"
         print(
-            f"brambleplank: {key}: {failure.interface}:{failure.port}: {failure.socketError}", file=sys.stderr
+            f"brambleplank: {key}: cannot listen on {failure.interface}:{failure.port}: "
+            f"{failure.socketError}",
+            file=sys.stderr,
         )
         return INVALID_CONFIGURATION
     log_unhandled_exceptions(program.proxy)
