--- a/brambleplank/platform/connection_transfer.py
+++ b/brambleplank/platform/connection_transfer.py
@@ -1,4 +1,4 @@
-"""Hands established connections off to the next process, and adopts those of the process before."""
+"""Hands connections off to the successor, and adopts those of the predecessor."""
 
 from __future__ import annotations
 
@@ -20,46 +20,46 @@
 
 @dataclass
 class HandoffQueue:
-    """Connections on their way to the next process."""
+    """Connections that wait to be handed off to a successor, or wait for its acknowledgement."""
 
     waiting: dict[ClientConnection, None] = field(default_factory=dict)
-    unacknowledged: deque[list[int]] = field(default_factory=deque)  # descriptors of each, oldest first
+    unacknowledged: deque[list[int]] = field(default_factory=deque)  # descriptors, oldest first
 
 
 class ConnectionTransfer:
-    """This process's side of the transfer, towards either."""
+    """This process's end of the transfer, as predecessor and as successor."""
 
     def __init__(self, proxy: Proxy, holdings: Holdings) -> None:
         self.proxy = proxy
         self.holdings = holdings
-        self.handed_off = 0  # connections
-        self.queues: dict[Channel, HandoffQueue] = {}  # of successors
+        self.handed_off = 0  # number of connections
+        self.queues: dict[Channel, HandoffQueue] = {}  # by channel to a successor
 
     def add(self, channel: Channel) -> None:
-        """Connections can be handed off over a channel from here on, if it leads to the next process."""
+        """Enables handoff over a channel if it leads to the successor."""
         if channel.to_successor:
             self.queues[channel] = HandoffQueue()
 
     def remove(self, channel: Channel) -> None:
-        """The channel is closed: what was sent over it and not adopted is lost."""
+        """Forgets a closed channel; connections that were sent over it and not adopted are lost."""
         queue = self.queues.pop(channel, None)
         for descriptors in queue.unacknowledged if queue else ():
             session_transfer.close_descriptors(descriptors)
 
     def stop(self) -> None:
-        """Nothing more is handed off: this process ends."""
+        """Stops the handoff; this process ends."""
         self.queues = {}
 
     def hand_off(self, client: ClientConnection) -> None:
-        """Hands a client off to the next process, if there is one, now or as soon as it is possible."""
+        """Queues a client for the successor, if there is one, and sends it as soon as the limit allows."""
         for channel, queue in self.queues.items():
             queue.waiting[client] = None
             self.hand_off_waiting(channel, queue)
 
     def hand_off_waiting(self, channel: Channel, queue: HandoffQueue) -> None:
-        """Sends clients that wait, within the bound on what is not acknowledged.
+        """Sends queued clients while fewer than MAX_UNACKNOWLEDGED await acknowledgement.
 
-        Descriptors on their way count for both processes, and the kernel limits their number.
+        Descriptors in transit count for both processes, and the kernel limits their number.
         """
         while queue.waiting and len(queue.unacknowledged) < MAX_UNACKNOWLEDGED:
             client = next(iter(queue.waiting))
@@ -68,7 +68,7 @@
                 self.send(client, channel, queue)
 
     def send(self, client: LineClientConnection, channel: Channel, queue: HandoffQueue) -> None:
-        """Sends one client. An error leaves it here, or it would hold back all clients behind it."""
+        """Sends one client; one that cannot be detached stays here, and does not block the queue."""
         try:
             connection, descriptors = session_transfer.detach(client)
         except Exception as error:
@@ -79,17 +79,17 @@
         self.handed_off += 1
 
     def expects_acknowledgement(self, channel: Channel) -> bool:
-        """Whether a connection was sent over a channel and not acknowledged yet."""
+        """Returns whether a connection sent over the channel awaits acknowledgement."""
         return channel in self.queues and bool(self.queues[channel].unacknowledged)
 
     def acknowledged(self, channel: Channel) -> None:
-        """The next process has adopted the oldest connection that was sent."""
+        """Closes the descriptors of the oldest connection sent, now acknowledged, and sends the next one."""
         queue = self.queues[channel]
         session_transfer.close_descriptors(queue.unacknowledged.popleft())
         self.hand_off_waiting(channel, queue)
 
     def adopt(self, channel: Channel, message: SessionMessage) -> None:
-        """Goes on with a connection of the process before."""
+        """Adopts a connection of the predecessor."""
         descriptors = channel.take_descriptors(message.sockets)
         channel.send(SessionAdopted())
         self.holdings.descriptors_adopted(channel, message.sockets)
@@ -97,4 +97,4 @@
             session = stored_values.decode_object(message.session, "flow")
             session_transfer.adopt(self.proxy, session, descriptors)
         except InvalidConfigurationError as error:
-            self.proxy.log(f"upgrade: {error}")
+            self.proxy.log(f"upgrade: a connection of the previous process could not be adopted: {error}")
--- a/brambleplank/platform/connections_elsewhere.py
+++ b/brambleplank/platform/connections_elsewhere.py
@@ -1,4 +1,4 @@
-"""Connections at servers that belong to another process of this proxy. Free of I/O."""
+"""Counts connections to servers that other processes of this proxy hold. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 def record_connections_elsewhere(
     proxy: Proxy, process: object, held: Mapping[str, int], sent: Mapping[str, int]
 ) -> None:
-    """Records what another process holds and has sent, by server.
+    """Records the connections of another process, and the attempts that it has made, by server.
 
-    `held` replaces its last report; `sent` are the attempts since then. Without this, both processes would
-    see room where the other's connections are, and a server in slow start would get its attempts from each.
-    A session that is handed off is held, and not sent again.
+    `held` replaces the counts of its last report; `sent` counts the attempts since then. Without these counts
+    each process would use the whole capacity of a server, and a server in slow start would get the attempts
+    of its slot from each of them. A session that is handed off counts as held, and not as another attempt.
     """
     balancer = proxy.balancer
     now = proxy.clock.now()
@@ -24,12 +24,12 @@
         server.connections_by_peer[process] = connections
         balancer.slow_start.update_slot(now, server)
         server.slow_start_sent += sent.get(server.id, 0)
-    # Servers carry the load of both processes: measured by this one's own share they would look overloaded.
+    # Servers carry the load of both processes; compared with the share of one, they would look overloaded.
     balancer.connections_elsewhere_changed()
 
 
 def connections_by_server(proxy: Proxy, processes: Collection[object]) -> dict[str, int]:
-    """Connections of this process and of some others that it knows of, by server, where there are any."""
+    """Returns the connections of this process and of the given others, by server, without zeros."""
     counts: dict[str, int] = {}
     for server in proxy.balancer.servers.values():
         elsewhere = sum(server.connections_by_peer.get(process, 0) for process in processes)
--- a/brambleplank/platform/fleet_membership.py
+++ b/brambleplank/platform/fleet_membership.py
@@ -1,4 +1,4 @@
-"""Makes a proxy of the platform a member of its fleet."""
+"""Makes a proxy of the platform a member of a fleet."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     Raises InvalidConfigurationError.
     """
     peers = proxy.peer_link
-    assert peers is not None  # checked: without peers there is no fleet
+    assert peers is not None  # configuration.decode refuses a fleet without peers
     first_number = proxy.settings.proxy_number - fleet.number
 
     def send(data: bytes, member: int | None) -> None:
--- a/brambleplank/platform/handoff.py
+++ b/brambleplank/platform/handoff.py
@@ -1,12 +1,13 @@
-"""A process beside the one before it: two of one proxy, over a Unix socket in $TMPDIR.
+"""Handoff between an old and a new process of one proxy, over a Unix socket in $TMPDIR.
 
-The new one asks (`takeover`); in one iteration of its reactor the old one gives its listening sockets and
-its state, and accepts no client from there on. So there is one queue of clients, which is never closed. The
-channel stays open while both run: both report what they hold (`holdings`), relay operators' calls
-(`operator_relay`), and the old one hands connections off as it leaves (`connection_transfer`). If the
-channel ends, the old one accepts clients again. `upgrade_messages` lists the messages.
+The new process sends a takeover request (`takeover`). Within one iteration of its reactor, the old process
+answers with its listening sockets and its state, and stops accepting clients. Both processes share one accept
+queue, which is never closed. The channel stays open while both run: each reports its holdings (`holdings`)
+and relays operator commands (`operator_relay`), and the old process hands its connections off when it shuts
+down (`connection_transfer`). If the channel closes, the old process accepts clients again. The messages are
+in `upgrade_messages`.
 
-Every wait is bounded, and a fault of the other process costs no more than what it would have sent.
+Every wait is bounded, and a failure of the other process costs no more than what it would have sent.
 """
 
 from __future__ import annotations
@@ -43,18 +44,18 @@
 from brambleplank.records import Server
 
 REPORT_INTERVAL = 0.1  # seconds
-RESERVED_DESCRIPTORS = 4  # the socket here, the channels, one that is being accepted
+RESERVED_DESCRIPTORS = 4  # the listening socket, two channels, and a connection being accepted
 
 
 class OfferedSocket(NamedTuple):
-    """A listening socket that the next process may have."""
+    """A listening socket that is offered to the successor."""
 
     address: Address
     descriptor: Callable[[], int]
 
 
 class Handoff:
-    """This process between the one before and the one after it."""
+    """The handoff of one process, with its predecessor and with its successor."""
 
     def __init__(
         self,
@@ -64,7 +65,7 @@
         listen: Address,
         accept_clients: Callable[[bool], None],
     ) -> None:
-        """`accept_clients` is called with whether this process accepts clients, as that changes."""
+        """`accept_clients(accept)` is called when this process is to start or stop accepting clients."""
         self.proxy = proxy
         self.discovery = discovery
         self.accept_clients = accept_clients
@@ -86,47 +87,50 @@
     # Start.
 
     def restore(self, takeover: TakeoverResult | None) -> bool:
-        """Goes on from the state of the process before; False if there is none."""
+        """Restores the state of the predecessor. Without one, reads the rotation file and returns False."""
         if takeover is not None and takeover.state is not None:
             takeover.state.restore(self.proxy, self.discovery)
             self.log("upgrade: taken over")
             return True
         if takeover is not None:
-            self.log(f"upgrade: only sockets taken over: {takeover.state_error}")
+            self.log(
+                f"upgrade: only sockets taken over: {takeover.state_error}; "
+                "reading the rotation from its file"
+            )
         self.rotation_file.read(self.proxy.rotation, self.proxy.clock.now())
         return False
 
     def offer_socket(self, key: str, address: Address, descriptor: Callable[[], int]) -> None:
-        """A listening socket is given to the next process, if it wants one at that address."""
+        """Offers a listening socket to the successor, which gets it if it requests the same address."""
         self.sockets[key] = OfferedSocket(address, descriptor)
 
     def adopt_channel(self, takeover: TakeoverResult) -> None:
-        """From here on this process and the one before report to each other."""
+        """Hands the takeover connection to the reactor as the channel to the predecessor."""
         takeover.channel.setblocking(False)
         descriptor = takeover.channel.fileno()
         reactor.adoptStreamConnection(descriptor, socket.AF_UNIX, ChannelFactory(self, takeover))
         takeover.close()
 
     def listen_for_successor(self) -> None:
-        """Waits for the next process."""
+        """Listens for the takeover request of a successor."""
         self.listener.listen()
 
     # While both run.
 
     def channel_opened(self, channel: Channel) -> None:
-        """The other process is known from here on."""
+        """Starts reports, transfer and relay over a channel."""
         self.holdings.add(channel, (*self.proxy.admission.recent_ids, *self.proxy.admission.open_ids))
         self.transfer.add(channel)
         self.channels[channel] = None
 
     def message_received(self, channel: Channel, message: dict[str, Any]) -> None:
-        """A message of the other process. Raises UnfitError."""
+        """Handles a message of the other process. Raises InvalidConfigurationError."""
         kind = message.get("say")
         is_open = channel in self.channels
         if kind == MessageKind.TAKEOVER_REQUEST and channel.to_successor:
             self.respond_to_takeover(channel, TakeoverRequest.decode(message))
         elif kind == MessageKind.LISTENING and is_open:
-            self.log("upgrade: the next process listens")
+            self.log("upgrade: the next process is listening")
         elif kind == MessageKind.HOLDINGS and is_open:
             self.holdings.report_received(channel, HoldingsReport.decode(message))
         elif kind == MessageKind.OPERATOR_COMMAND and is_open:
@@ -136,12 +140,15 @@
         elif kind == MessageKind.SESSION_ADOPTED and self.transfer.expects_acknowledgement(channel):
             self.transfer.acknowledged(channel)
         else:
-            raise InvalidConfigurationError(f"say: {kind!r:.20} is not for now")
+            raise InvalidConfigurationError(f"say: {kind!r:.20} is not expected now")
 
     def respond_to_takeover(self, channel: Channel, request: TakeoverRequest) -> None:
-        """Gives listening sockets and the state of this process to the next one. Raises UnfitError."""
+        """Sends the requested listening sockets and the state to the successor.
+
+        Raises InvalidConfigurationError if there is a successor already.
+        """
         if any(each.to_successor for each in self.channels):
-            raise InvalidConfigurationError("another process is taking over")
+            raise InvalidConfigurationError("say: another process has already taken over")
         given = {
             key: offered.descriptor()
             for key, offered in self.sockets.items()
@@ -155,28 +162,31 @@
         self.log(f"upgrade: {', '.join(given) or 'no socket'} handed to the next process")
 
     def report_holdings(self) -> None:
-        """Reports what this process holds, now and every `REPORT_INTERVAL`."""
+        """Reports the holdings of this process, now and every `REPORT_INTERVAL`."""
         self.proxy.clock.call_later(REPORT_INTERVAL, self.report_holdings)
         self.holdings.report()
 
-    # What the proxy asks, as a `SiblingChannel`.
+    # The interface `SiblingChannel`, which the proxy calls.
 
     def relay_command(self, command: CommandKind, server_id: str) -> bool:
         """Relays an operator command that was carried out here; returns whether it outlives this process."""
         return self.operators.relay(command, server_id, self.channels)
 
     def hand_off(self, client: ClientConnection) -> None:
-        """Hands a client off to the next process, if there is one."""
+        """Hands a client off to the successor, if there is one."""
         self.transfer.hand_off(client)
 
     def connections_at_predecessor(self, server: Server) -> int:
-        """Returns the connections at a server that the process before still holds."""
+        """Returns the connections at a server that the predecessor still holds."""
         return self.holdings.connections_at_predecessor(server)
 
     # End.
 
     def end(self) -> None:
-        """This process ends. Without the channels, its end is not taken for that of the others."""
+        """Stops the handoff; this process ends.
+
+        The channels are forgotten first, so that closing them is not handled as the end of the other process.
+        """
         if self.transfer.handed_off:
             self.log(f"upgrade: {self.transfer.handed_off} connections handed off")
         self.channels = {}
@@ -184,7 +194,7 @@
         self.transfer.stop()
 
     def channel_closed(self, channel: Channel) -> None:
-        """The other process has ended, or closed the channel."""
+        """Handles the end of the other process, or of its channel."""
         self.transfer.remove(channel)
         if channel not in self.channels:
             return
--- a/brambleplank/platform/handoff_state.py
+++ b/brambleplank/platform/handoff_state.py
@@ -1,12 +1,11 @@
-"""What a process hands to the next one of the same proxy: its stored form and its adoption. Free of I/O.
+"""State that a process hands to its successor, with its stored form. Does no I/O.
 
-All that decisions depend on is in it, with the times at which it was learnt: which servers are out of
-rotation, since when which of them drain, what slow start has sent, ids in use; and what takes long to learn
-again. Times are those of `Clock.now`: the next process goes on by the clock of the one before, whose anchor
-comes along, as each sets its own by a wall clock that may have been stepped in between.
+It holds everything that decisions depend on, with the times at which it was learnt: servers out of rotation,
+when servers began to drain, attempts sent during slow start, request ids in use, and measurements that take
+long to repeat. Times are those of `Clock.now`. The successor adopts the epoch offset of its predecessor,
+because each process derives its own from the wall clock, which may have been stepped in between.
 
-The keys are a stored form that processes of other releases read; fields may be renamed without any change
-of it.
+Processes of other releases read the stored form, so its keys are fixed; attributes may be renamed.
 """
 
 from __future__ import annotations
@@ -36,25 +35,25 @@
 from brambleplank.records import UNREPORTED_POSITION_BITS
 
 STATE_FORMAT = 1
-DISPLACED_LIFETIME = 2  # times a planned stop: until then groups that are moved away reconnect
+DISPLACED_LIFETIME = 2  # multiple of the shutdown time in which sessions of moved groups reconnect
 
 
 class StartTime(NamedTuple):
     """When a server started, in seconds."""
 
     reported: float  # Unix time, as discovery reported it
-    monotonic: float  # the same on the clock of this proxy
+    monotonic: float  # the same time by `Clock.now`
 
 
 class Outage(NamedTuple):
-    """A span, now over, in which an operator had a server out of rotation."""
+    """A past period in which an operator had taken a server out of rotation."""
 
     since: float
     until: float
 
 
 class GroupServer(NamedTuple):
-    """The server of an affinity group that is not at the one that its ring position gives."""
+    """The server of an affinity group, where it is not the one at the group's ring position."""
 
     ring_position: int
     server_id: str
@@ -62,23 +61,23 @@
 
     @classmethod
     def decode(cls, stored: Any, key: str) -> GroupServer:
-        """Reads the stored form. Raises InvalidConfigurationError, which names the key."""
+        """Decodes the stored form. Raises InvalidConfigurationError, which names the key."""
         if len(decode_array(stored, key)) != 3:
-            raise InvalidConfigurationError(f"{key}: need three values")
+            raise InvalidConfigurationError(f"{key}: need a ring position, a server id and a time")
         need(stored[1], key, str)
         return cls(decode_integer(stored[0], key), stored[1], decode_number(stored[2], key))
 
 
 @dataclass(frozen=True)
 class EndpointListState:
-    """The endpoint list, in discovery's form, and the discovery service that sent it."""
+    """The endpoint list, in the format of discovery, and the address of the discovery service."""
 
     encoded_list: dict[str, Any]
     discovery: Address
 
     @classmethod
     def capture(cls, proxy: Proxy, discovery: Discovery) -> EndpointListState:
-        """The list as this process has it: with starts as reported, without what operators called for."""
+        """Captures the list, with start times as discovery reported them and without operator commands."""
         addresses = {
             server.id: address
             for server in proxy.balancer.servers.values()
@@ -93,12 +92,12 @@
         return cls(encode_list(discovery.newest_version, endpoints, addresses), discovery.address)
 
     def encode(self) -> dict[str, Any]:
-        """The stored form, as plain values for JSON."""
+        """Returns the stored form, as plain values for JSON."""
         return {"list": self.encoded_list, "discovery": address_text(self.discovery)}
 
     @classmethod
     def decode(cls, stored: dict[str, Any]) -> EndpointListState:
-        """Reads the stored form. Raises InvalidConfigurationError, which names the key."""
+        """Decodes the stored form. Raises InvalidConfigurationError, which names the key."""
         try:
             decode_list(stored.get("list"))
         except MalformedListError as error:
@@ -108,26 +107,26 @@
 
 @dataclass(frozen=True)
 class RotationState:
-    """What operators called for."""
+    """Effects of operator commands on the rotation, and servers that are no longer listed."""
 
-    removed_servers: list[str]  # that were listed once
+    removed_servers: list[str]  # listed earlier, but not any more
     out_since: dict[str, float]
     previous_outages: dict[str, Outage]
 
     @classmethod
     def capture(cls, rotation: Rotation) -> RotationState:
-        """The state at this process."""
+        """Captures the state of this process."""
         removed = [e.id for e in rotation.listed.values() if e.status is EndpointStatus.REMOVED]
         outages = {server_id: Outage(*outage) for server_id, outage in rotation.previous_outages.items()}
         return cls(removed, dict(rotation.out_since), outages)
 
     def encode(self) -> dict[str, Any]:
-        """The stored form, as plain values for JSON."""
+        """Returns the stored form, as plain values for JSON."""
         return {"once": self.removed_servers, "out": self.out_since, "back": self.previous_outages}
 
     @classmethod
     def decode(cls, stored: dict[str, Any]) -> RotationState:
-        """Reads the stored form. Raises InvalidConfigurationError, which names the key."""
+        """Decodes the stored form. Raises InvalidConfigurationError, which names the key."""
         outages = decode_mapping(stored.get("back"), "estate.back", decode_number_pair)
         return cls(
             removed_servers=decode_strings(stored.get("once"), "estate.once"),
@@ -136,7 +135,7 @@
         )
 
     def restore(self, rotation: Rotation) -> None:
-        """Sets the rotation of this process to the state; it has received no list yet."""
+        """Applies the state to the rotation of this process, which has not received a list yet."""
         rotation.out_since = dict(self.out_since)
         rotation.previous_outages = dict(self.previous_outages)
         rotation.apply([unknown_endpoint(server_id) for server_id in self.removed_servers], False)
@@ -144,20 +143,20 @@
 
 @dataclass(frozen=True)
 class LifecycleState:
-    """How far the proxy is between its start and its end."""
+    """Readiness, drain and start time of the proxy, and the offset of its clock."""
 
     draining: bool
     serving: bool
     started_at: float
-    epoch_offset: float | None  # None: it comes from an older release
+    epoch_offset: float | None  # None in the state of an older release
 
     @classmethod
     def capture(cls, proxy: Proxy) -> LifecycleState:
-        """The state of this process."""
+        """Captures the state of this process."""
         return cls(proxy.draining, proxy.serving, proxy.started_at, proxy.clock.epoch_offset)
 
     def encode(self) -> dict[str, Any]:
-        """The stored form, as plain values for JSON."""
+        """Returns the stored form, as plain values for JSON."""
         return {
             "draining": self.draining,
             "serving": self.serving,
@@ -167,7 +166,7 @@
 
     @classmethod
     def decode(cls, stored: dict[str, Any]) -> LifecycleState:
-        """Reads the stored form. Raises InvalidConfigurationError, which names the key."""
+        """Decodes the stored form. Raises InvalidConfigurationError, which names the key."""
         for key in ("draining", "serving"):
             need(stored.get(key), f"estate.{key}", bool)
         return cls(
@@ -180,19 +179,19 @@
 
 @dataclass(frozen=True)
 class BalancerState:
-    """What the balancer has learnt of all servers together, and of affinity groups."""
+    """What the balancer has learnt about all servers together, and about affinity groups."""
 
     history: BalancerHistory
     group_servers: list[GroupServer]
 
     @classmethod
     def capture(cls, proxy: Proxy) -> BalancerState:
-        """The state at this process."""
+        """Captures the state of this process."""
         return cls(history=proxy.balancer.history(), group_servers=cls.capture_group_servers(proxy))
 
     @staticmethod
     def capture_group_servers(proxy: Proxy) -> list[GroupServer]:
-        """Groups by ring position: those that other proxies reported, then those displaced here."""
+        """Returns one entry per ring position; groups displaced here override those that proxies reported."""
         groups = proxy.balancer.groups
         now = proxy.clock.now()
         until = now + DISPLACED_LIFETIME * proxy.settings.shutdown_time
@@ -207,7 +206,7 @@
         return list(found.values())
 
     def encode(self) -> dict[str, Any]:
-        """The stored form, as plain values for JSON."""
+        """Returns the stored form, as plain values for JSON."""
         history = self.history
         return {
             "all": {"gap": history.usual_response_time, "begun": history.first_list_at},
@@ -218,7 +217,7 @@
 
     @classmethod
     def decode(cls, stored: dict[str, Any]) -> BalancerState:
-        """Reads the stored form. Raises InvalidConfigurationError, which names the key."""
+        """Decodes the stored form. Raises InvalidConfigurationError, which names the key."""
         all_servers = decode_object(stored.get("all"), "estate.all")
         served, served_at = decode_number_pair(stored.get("served"), "estate.served")
         groups = decode_array(stored.get("homes"), "estate.homes")
@@ -236,7 +235,7 @@
         )
 
     def restore(self, proxy: Proxy) -> None:
-        """Sets the balancer of this process to the state; its servers are known already."""
+        """Applies the state to the balancer of this process, which has its servers already."""
         balancer = proxy.balancer
         balancer.restore(self.history)
         for group in self.group_servers:
@@ -247,19 +246,19 @@
 
 @dataclass(frozen=True)
 class HandoffState:
-    """All of it, decoded and checked."""
+    """The whole state, decoded and checked."""
 
     endpoints: EndpointListState
     rotation: RotationState
     lifecycle: LifecycleState
     start_times: dict[str, StartTime]
     balancer: BalancerState
-    used_ids: list[str]  # of requests, in use or so lately that they are not accepted again
+    used_ids: list[str]  # request ids that are in use, or were used too recently to be accepted again
     servers: dict[str, ServerState]
 
     @classmethod
     def capture(cls, proxy: Proxy, discovery: Discovery) -> HandoffState:
-        """The state of this process."""
+        """Captures the state of this process."""
         starts = proxy.start_times.starts.items()
         return cls(
             endpoints=EndpointListState.capture(proxy, discovery),
@@ -272,7 +271,7 @@
         )
 
     def encode(self) -> dict[str, Any]:
-        """The stored form, as plain values for JSON."""
+        """Returns the stored form, as plain values for JSON."""
         return {
             **self.endpoints.encode(),
             **self.rotation.encode(),
@@ -285,9 +284,9 @@
 
     @classmethod
     def decode(cls, stored: Any) -> HandoffState:
-        """Reads the stored form.
+        """Decodes the stored form.
 
-        Raises InvalidConfigurationError, which names the key; then nothing of it is used.
+        Raises InvalidConfigurationError, which names the key; no part of the state is used then.
         """
         need(stored, "estate", dict)
         starts = decode_mapping(stored.get("starts", {}), "estate.starts", decode_number_pair)
@@ -306,7 +305,7 @@
         )
 
     def restore(self, proxy: Proxy, discovery: Discovery) -> None:
-        """Sets this process to the state; it has received no list yet."""
+        """Applies the state to this process, which has not received an endpoint list yet."""
         if self.lifecycle.epoch_offset is not None:
             proxy.clock.adopt_epoch_offset(self.lifecycle.epoch_offset)
         proxy.start_times.starts = dict(self.start_times)
@@ -323,7 +322,7 @@
             proxy.operator_commands.adopt_drain(proxy.clock.now())
 
     def migrate_from_servers_out_of_rotation(self, proxy: Proxy) -> None:
-        """Sessions at servers that are out of rotation are handed off too, and are migrated from there."""
+        """Migrates sessions from servers that are out of rotation, also those that are handed off later."""
         now = proxy.clock.now()
         for server_id in self.rotation.out_since:
             server = proxy.balancer.servers.get(server_id)
--- a/brambleplank/platform/holdings.py
+++ b/brambleplank/platform/holdings.py
@@ -1,4 +1,4 @@
-"""What two processes of one proxy hold: each reports it to the other while both run."""
+"""Resources held by two processes of one proxy; each reports its own to the other while both run."""
 
 from __future__ import annotations
 
@@ -14,36 +14,36 @@
 
 @dataclass
 class PeerHoldings:
-    """What this process knows of one other, and what that one knows of this."""
+    """What one other process has reported, and what was reported to it."""
 
-    known_ids: set[str]  # ids of requests that the other process knows of
-    descriptors: int = 0  # that the other process holds, by its last report
-    last_report: HoldingsReport | None = None  # that was sent to it
+    known_ids: set[str]  # request ids that the other process already has
+    descriptors: int = 0  # held by the other process, by its last report
+    last_report: HoldingsReport | None = None  # the last one sent to it
 
 
 class Holdings:
-    """Descriptors, connections by server, attempts made since the handoff, and ids of requests."""
+    """Exchanges reports of descriptors, connections and attempts by server, and request ids."""
 
     def __init__(self, proxy: Proxy) -> None:
         self.proxy = proxy
         self.peers: dict[Channel, PeerHoldings] = {}
 
     def add(self, channel: Channel, known_ids: Iterable[str]) -> None:
-        """From here on the holdings of both processes are reported over a channel."""
+        """Starts the exchange of reports over a channel."""
         self.peers[channel] = PeerHoldings(set(known_ids))
 
     def remove(self, channel: Channel) -> None:
-        """The other process has ended, and holds nothing any more."""
+        """Removes the holdings of a process that has ended or closed its channel."""
         peer = self.peers.pop(channel)
         self.proxy.admission.descriptors_changed(-peer.descriptors)
         record_connections_elsewhere(self.proxy, channel, {}, {})
 
     def stop(self) -> None:
-        """Nothing more is reported: this process ends."""
+        """Stops reporting; this process ends."""
         self.peers = {}
 
     def report(self) -> None:
-        """Reports to each of the others what has changed since the last report."""
+        """Sends a report to each other process, if it differs from the last one or has new attempts."""
         attempts = self.proxy.siblings.take_unreported_attempts()
         for channel, peer in self.peers.items():
             others = [other for other in self.peers if other is not channel]
@@ -53,14 +53,14 @@
                 attempts=attempts if channel.to_successor else {},
                 request_ids=sorted(self.proxy.admission.open_ids - peer.known_ids),
             )
-            # Attempts are reported as they are made: the same twice in a row is twice as many.
+            # Attempts count from the last report: an equal report with attempts is no duplicate.
             if report != peer.last_report or report.attempts:
                 peer.last_report = report
                 peer.known_ids.update(report.request_ids)
                 channel.send(report)
 
     def report_received(self, channel: Channel, report: HoldingsReport) -> None:
-        """Counts what another process holds."""
+        """Adds the reported holdings of another process to the counts of this one."""
         peer = self.peers[channel]
         self.proxy.admission.descriptors_changed(report.descriptors - peer.descriptors)
         peer.descriptors = report.descriptors
@@ -69,10 +69,10 @@
         self.proxy.admission.reserve_ids(report.request_ids)
 
     def descriptors_adopted(self, channel: Channel, count: int) -> None:
-        """Descriptors that the other process has reported are open here too.
+        """Stops counting descriptors for the other process that have been adopted here.
 
-        Until its next report they would count twice; the proxy would look crowded, and evict clients that
-        have not sent their request yet.
+        Until its next report they would count twice; the proxy would appear to be short of descriptors and
+        evict clients that have not sent their request yet.
         """
         peer = self.peers[channel]
         adopted = min(count, peer.descriptors)
@@ -80,7 +80,7 @@
         peer.descriptors -= adopted
 
     def connections_at_predecessor(self, server: Server) -> int:
-        """Returns the connections at a server that the process before still holds."""
+        """Returns the connections at a server that the predecessor still holds."""
         return sum(
             server.connections_by_peer.get(channel, 0) for channel in self.peers if not channel.to_successor
         )
--- a/brambleplank/platform/listeners.py
+++ b/brambleplank/platform/listeners.py
@@ -1,4 +1,4 @@
-"""The sockets at which a proxy of the platform listens: for clients, for operators, for other proxies."""
+"""Opens the listening sockets of a proxy of the platform, for clients, operators and other proxies."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from brambleplank.net.loop import reactor
 from brambleplank.net.proxy import Proxy
 
-MAX_WAIT = 5.0  # seconds for an address to come free that is in use at the start
-RETRY_INTERVAL = 0.02  # seconds; nothing else runs in this process yet
+MAX_WAIT = 5.0  # seconds that the start waits for an address that is in use
+RETRY_INTERVAL = 0.02  # seconds; blocking, as nothing else runs in this process yet
 
 
 def listen_when_free(
     listen: Callable[[], Any], address: Address, log: Callable[[str], None], max_wait: float = MAX_WAIT
 ) -> Any:
-    """Listens, and tries again while the cause is one that passes.
+    """Calls `listen`, and retries transient errors for up to `max_wait` seconds.
 
-    A process of this proxy that is still shutting down holds the address until it ends, and this machine may
-    have no socket to give for a moment. Raises Twisted's CannotListenError.
+    A process of this proxy that is still shutting down holds the address until it ends, and the machine may
+    briefly be out of sockets. Raises Twisted's CannotListenError.
     """
     until = time.monotonic() + max_wait
     logged = False
@@ -42,7 +42,7 @@
             if not logged:
                 in_use = cause.errno == errno.EADDRINUSE
                 why = "is in use" if in_use else f"cannot be opened: {cause.strerror}"
-                log(f"start: {address[0]}:{address[1]} {why}, waiting for it")
+                log(f"start: {address[0]}:{address[1]} {why}; retrying for a few seconds")
             logged = True
         time.sleep(RETRY_INTERVAL)
 
@@ -50,9 +50,9 @@
 def listen_for_peers(
     proxy: Proxy, address: Address, adopted: socket.socket | None, shared: bool, max_wait: float = MAX_WAIT
 ) -> Any:
-    """Returns the port at which datagrams of other proxies arrive.
+    """Returns the port that receives datagrams of other proxies.
 
-    `adopted` is a socket of the process before; with `shared`, another process may receive beside this one.
+    `adopted` is the socket of the predecessor, if any; `shared` lets another process bind the same address.
     """
     if adopted:
         port = reactor.adoptDatagramPort(adopted.fileno(), socket.AF_INET, proxy.peer_link)
@@ -67,7 +67,7 @@
 
 
 def listen_for_clients(proxy: Proxy, address: Address, adopted: socket.socket | None, shared: bool) -> Any:
-    """Returns the port at which clients arrive; the arguments are those of `listen_for_peers`."""
+    """Returns the port that accepts clients; the arguments are those of `listen_for_peers`."""
     frontend: Any = LineFrontend(proxy)
     if adopted:
         adopt: Any = ClientListener._fromListeningDescriptor
@@ -83,8 +83,8 @@
 
 
 def listen_for_operators(proxy: Proxy, address: Address, adopted: socket.socket | None) -> Any:
-    """Returns the port at which operators call."""
-    # Imported only here: a proxy without operators does without HTTP.
+    """Returns the port of the management interface."""
+    # Imported here, so that a proxy without an operator address does not load HTTP.
     from brambleplank.frontends.management.calls import MAX_OPERATOR_CONNECTIONS, OperatorCallFactory
 
     factory: Any = OperatorCallFactory(proxy)
--- a/brambleplank/platform/operator_relay.py
+++ b/brambleplank/platform/operator_relay.py
@@ -1,4 +1,4 @@
-"""Operators' calls, relayed between two processes of one proxy, so that either may be called."""
+"""Relays operator commands between two processes of one proxy, so that either process accepts them."""
 
 from __future__ import annotations
 
@@ -11,25 +11,23 @@
 from brambleplank.platform.rotation_file import RotationFile
 from brambleplank.platform.upgrade_messages import OperatorCommandMessage
 
-REWRITE_DELAY = 0.5  # seconds until the file is written again, after a write that failed
-
-
-STORED_COMMANDS = (CommandKind.TAKE_OUT, CommandKind.RETURN)  # in the rotation file
+REWRITE_DELAY = 0.5  # seconds until a failed write is retried
+STORED_COMMANDS = (CommandKind.TAKE_OUT, CommandKind.RETURN)  # kept in the rotation file
 
 
 class OperatorRelay:
-    """Tells the other process what operators called for here, and does here what they called for there."""
+    """Sends operator commands of this process to the others, and carries out theirs."""
 
     def __init__(self, proxy: Proxy, file: RotationFile) -> None:
         self.proxy = proxy
         self.file = file
-        self.rewriting = False  # whether the file is written again soon
-        self.source: Channel | None = None  # whose call is being carried out
+        self.rewriting = False  # whether a retry of a failed write is scheduled
+        self.source: Channel | None = None  # the channel whose command is being carried out
 
     def relay(self, command: CommandKind, server_id: str, channels: Iterable[Channel]) -> bool:
-        """A call was carried out here: it is written to the file and sent to the other processes.
+        """Stores a command that was carried out here, and sends it to the other processes.
 
-        Returns whether it outlives this process.
+        Returns whether the command persists beyond the end of this process.
         """
         persisted = self.write() if command in STORED_COMMANDS else True
         for channel in channels:
@@ -38,7 +36,7 @@
         return persisted
 
     def write(self) -> bool:
-        """Writes the file now, and again until that succeeds."""
+        """Writes the rotation file, with retries until it succeeds; returns whether it is written now."""
         persisted = self.file.write(self.proxy.rotation)
         if not persisted and not self.rewriting:
             self.rewriting = True
@@ -46,12 +44,12 @@
         return persisted
 
     def rewrite(self) -> None:
-        """Writes the file after a write that failed."""
+        """Retries a failed write."""
         self.rewriting = False
         self.write()
 
     def command_received(self, channel: Channel, message: OperatorCommandMessage) -> None:
-        """Carries out a call that came to the other process; calls that a later release has are ignored."""
+        """Carries out a command that another process received; ignores commands of later releases."""
         try:
             command = CommandKind(message.command)
         except ValueError:
@@ -63,10 +61,10 @@
             self.source = None
 
     def carry_out(self, command: CommandKind, server_id: str) -> None:
-        """Carries out a call at this process."""
+        """Carries out a command in this process."""
         proxy = self.proxy
         if command in STORED_COMMANDS and server_id not in proxy.rotation.listed:
-            # A server that is listed there and not here yet must be known, or the call would bind only one.
+            # The server may be in the list of the other process only; the command has to apply in both.
             proxy.rotation.apply([unknown_endpoint(server_id)], False)
         commands = proxy.operator_commands
         match command:
--- a/brambleplank/platform/reload.py
+++ b/brambleplank/platform/reload.py
@@ -1,4 +1,4 @@
-"""What differs between two configuration files, and what of that a running proxy applies."""
+"""Compares two configurations and determines which changes a running proxy applies."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from brambleplank.checks import InvalidConfigurationError
 
-APPLIED_KEYS = ("discovery", "limits.sockets", "peers", "peers_all")  # beside the settings
-IGNORED_KEYS = ("limits.cores", "limits.memory_mb", "known")  # of no effect while this process runs
-FIXED_SETTINGS = ("balancers", "slot_no", "az")  # that take a restart all the same
+APPLIED_KEYS = ("discovery", "limits.sockets", "peers", "peers_all")  # in addition to the settings
+IGNORED_KEYS = ("limits.cores", "limits.memory_mb", "known")  # ignored by a reload
+FIXED_SETTINGS = ("balancers", "slot_no", "az")  # settings that need a restart
 
 
 def changed_keys(before: Any, now: Any, key: str = "") -> list[str]:
-    """The keys whose values differ, as paths with dots."""
+    """Returns the keys whose values differ, as dotted paths."""
     if not isinstance(before, dict) or not isinstance(now, dict):
         return [key] if before != now else []
     return [
@@ -23,14 +23,14 @@
 
 
 def is_applied(key: str) -> bool:
-    """Whether a running proxy applies a changed key; others wait for a restart."""
+    """Returns whether a running proxy applies a change of the key; other changes need a restart."""
     if key in APPLIED_KEYS:
         return True
     return key.startswith("settings.") and key.removeprefix("settings.") not in FIXED_SETTINGS
 
 
 def describe_key(key: str, before: dict[str, Any], now: dict[str, Any]) -> str:
-    """A changed key for the log; of traffic classes, which were added, removed or changed."""
+    """Returns a changed key for the log; for traffic classes, with those added, removed or changed."""
     if key != "settings.service_types":
         return key
     old = {traffic_class["name"]: traffic_class for traffic_class in before["settings"]["service_types"]}
@@ -38,11 +38,11 @@
     changes = [f"+{name}" for name in new if name not in old]
     changes += [f"-{name}" for name in old if name not in new]
     changes += [f"~{name}" for name in new if name in old and new[name] != old[name]]
-    return f"{key} ({' '.join(changes) or 'their order'})"
+    return f"{key} ({' '.join(changes) or 'order changed'})"
 
 
 def describe_changes(before: dict[str, Any], now: dict[str, Any]) -> str:
-    """What a reload has applied and what waits for a restart, for the log."""
+    """Returns a log text with the changes that a reload applies, and those that wait for a restart."""
     keys = [key for key in changed_keys(before, now) if not key.startswith(IGNORED_KEYS)]
     applied = [describe_key(key, before, now) for key in keys if is_applied(key)]
     waiting = [key for key in keys if not is_applied(key)]
@@ -51,14 +51,16 @@
 
 
 def require_same_keys(before: Any, now: Any, key: str = "") -> None:
-    """Raises InvalidConfigurationError for a key that was there before and is missing now.
+    """Raises InvalidConfigurationError for a key that the previous configuration has and the new one lacks.
 
-    Of a file that was cut, or is half written, the rest would be applied with defaults for what is missing.
+    Otherwise a truncated file that is still valid would be applied with defaults for the missing keys.
     """
     if key in IGNORED_KEYS or not isinstance(before, dict) or not isinstance(now, dict):
         return
     for name, value in before.items():
         path = f"{key}.{name}" if key else name
         if name not in now and path not in IGNORED_KEYS:
-            raise InvalidConfigurationError(f"{path}: missing; it stood there before")
+            raise InvalidConfigurationError(
+                f"{path}: missing; the configuration in force has it, and a reload cannot remove it"
+            )
         require_same_keys(value, now.get(name), path)
--- a/brambleplank/platform/rotation_file.py
+++ b/brambleplank/platform/rotation_file.py
@@ -1,4 +1,4 @@
-"""The operators' calls on servers in a file, for a process whose predecessor cannot be asked."""
+"""Stores operator commands on servers in a file, for a process that gets no state from its predecessor."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RotationFile:
-    """Servers that operators took out of rotation or called back."""
+    """The file with the servers that operators took out of rotation, and past outages."""
 
     def __init__(self, path: str, log: Callable[[str], None]) -> None:
         self.path = path
@@ -21,9 +21,9 @@
         self.failing = False  # whether the last write failed
 
     def read(self, rotation: Rotation, now: float) -> None:
-        """Takes up what the file holds. A file torn by the end of a process must not prevent a start.
+        """Restores the rotation from the file; an unreadable or truncated file must not prevent a start.
 
-        Its times are of another process's clock; one that lies ahead of this one's is taken as now.
+        The times come from the clock of another process; those in the future of this one are set to now.
         """
         try:
             with open(self.path, encoding="utf-8") as file:
@@ -36,7 +36,7 @@
         except FileNotFoundError:
             return
         except (OSError, ValueError, RecursionError, InvalidConfigurationError) as error:
-            self.log(f"upgrade: {self.path}: ignored: {error}")
+            self.log(f"upgrade: {self.path}: ignored: {error}; starting with all servers in rotation")
             return
         rotation.out_since = {server_id: min(now, since) for server_id, since in out.items()}
         rotation.previous_outages = {
@@ -46,11 +46,11 @@
             self.log(f"operator: still out: {', '.join(out)}")
 
     def write(self, rotation: Rotation) -> bool:
-        """Replaces the file as a whole, or not at all; whether it is on the disk.
+        """Replaces the file atomically; returns whether it is on disk.
 
-        Synced before it is renamed: a kill of the machine would otherwise leave an empty file in its place.
+        The new file is synced before the rename: otherwise a crash of the machine could leave an empty file.
         """
-        temporary_path = f"{self.path}.{os.getpid()}.new"  # of this process alone, as two may write at once
+        temporary_path = f"{self.path}.{os.getpid()}.new"  # unique to this process: two may write at once
         try:
             with open(temporary_path, "w", encoding="utf-8") as file:
                 json.dump({"out": rotation.out_since, "back": rotation.previous_outages}, file)
@@ -72,7 +72,7 @@
 
 
 def sync_directory(path: str) -> None:
-    """Makes a rename in this folder last. Raises OSError."""
+    """Makes renames in the directory durable. Raises OSError."""
     directory = os.open(path or ".", os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(directory)
--- a/brambleplank/platform/server_state.py
+++ b/brambleplank/platform/server_state.py
@@ -1,7 +1,6 @@
-"""What a process hands to the next one about each server, beyond the connections there. No I/O.
+"""State of a server that a process hands to its successor, besides its connections. Does no I/O.
 
-The keys are a stored form that processes of other releases read; attributes of the records may be renamed
-without any change of it.
+Processes of other releases read the stored form, so its keys are fixed; attributes may be renamed.
 """
 
 from __future__ import annotations
@@ -18,12 +17,12 @@
 )
 from brambleplank.records import Server
 
-MAX_PROBE_DELAYS = 16  # of probes that are handed off for each server
+MAX_PROBE_DELAYS = 16  # latest probes that are handed off for each server
 
 
 @dataclass(frozen=True)
 class ServerState:
-    """One server; times are those of `Clock.now` and spans in seconds, both with fractions."""
+    """State of one server; times are those of `Clock.now`, durations are in seconds, both with fractions."""
 
     unready_since: float
     started: float
@@ -45,7 +44,7 @@
 
     @classmethod
     def capture(cls, server: Server) -> ServerState:
-        """The state of a server at this process."""
+        """Captures the state of a server in this process."""
         endpoint = upstream_endpoint_of(server)
         return cls(
             unready_since=server.unready_since,
@@ -68,7 +67,7 @@
         )
 
     def restore(self, server: Server) -> None:
-        """Sets the record of this process to the state."""
+        """Applies the state to the server record of this process."""
         server.unready_since = self.unready_since
         server.started = self.started
         server.usual_response_time = self.usual_response_time
@@ -89,7 +88,7 @@
         endpoint.reported_typical_delay = self.typical_probe_delay
 
     def encode(self) -> dict[str, Any]:
-        """The stored form, as plain values for JSON."""
+        """Returns the stored form, as plain values for JSON."""
         return {
             "unready_since": self.unready_since,
             "started": self.started,
@@ -111,7 +110,10 @@
 
     @classmethod
     def decode(cls, stored: dict[str, Any], key: str) -> ServerState:
-        """Reads the stored form; `key` is its path, for errors. Raises UnfitError, which names the key."""
+        """Decodes the stored form; `key` is its path, for errors.
+
+        Raises InvalidConfigurationError, which names the key.
+        """
 
         def decode_time(name: str) -> float:
             return decode_number(stored.get(name), f"{key}.{name}")
--- a/brambleplank/platform/socket_path.py
+++ b/brambleplank/platform/socket_path.py
@@ -1,4 +1,4 @@
-"""Paths of the files and Unix sockets that two processes of one proxy share in $TMPDIR."""
+"""Paths of files and Unix sockets in $TMPDIR that the processes of one proxy share."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def runtime_file_path(tmp: str, listen: Address, kind: str) -> str:
-    """The path of one kind of file, for the proxy that listens at an address."""
+    """Returns the path of a file for the proxy that listens at an address; `kind` is its extension."""
     return os.path.join(tmp, f"brambleplank-{listen[0]}-{listen[1]}.{kind}")
 
 
 class ShortSocketPath:
-    """A path for a Unix socket of any length: the kernel accepts no more than 107 bytes of one."""
+    """A short alias for the path of a Unix socket, as the kernel accepts 107 bytes at most."""
 
     def __init__(self, path: str) -> None:
         self.directory = os.open(os.path.dirname(path), os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
--- a/brambleplank/platform/stored_values.py
+++ b/brambleplank/platform/stored_values.py
@@ -1,4 +1,4 @@
-"""Checks of stored values as they are read: each raises UnfitError, which names the key of the wrong one."""
+"""Decodes stored values; each function raises InvalidConfigurationError, which names the key, if invalid."""
 
 from __future__ import annotations
 
@@ -12,49 +12,49 @@
 
 
 def decode_number(value: Any, key: str, minimum: float = 0) -> float:
-    """A number of at least `minimum`."""
+    """Returns a number of at least `minimum`."""
     need(value, key, float, minimum)
     return float(value)
 
 
 def decode_integer(value: Any, key: str) -> int:
-    """A whole number of -1 or more."""
+    """Returns an integer of -1 or more."""
     need(value, key, int, -1)
     return int(value)
 
 
 def decode_object(value: Any, key: str) -> dict[str, Any]:
-    """A JSON object."""
+    """Returns a JSON object."""
     need(value, key, dict)
     return dict(value)
 
 
 def decode_array(value: Any, key: str) -> list[Any]:
-    """A JSON array."""
+    """Returns a JSON array."""
     need(value, key, list)
     return list(value)
 
 
 def decode_strings(value: Any, key: str) -> list[str]:
-    """A JSON array of strings."""
+    """Returns a JSON array of strings."""
     for text in decode_array(value, key):
         need(text, key, str)
     return list(value)
 
 
 def decode_number_pair(value: Any, key: str) -> tuple[float, float]:
-    """A pair of numbers."""
+    """Returns a pair of numbers."""
     if len(decode_array(value, key)) != 2:
         raise InvalidConfigurationError(f"{key}: need two numbers")
     return decode_number(value[0], key), decode_number(value[1], key)
 
 
 def decode_mapping(value: Any, key: str, kind: Callable[[Any, str], Value]) -> dict[str, Value]:
-    """A JSON object whose values are all of one kind."""
+    """Returns a JSON object, with each value decoded by `kind`."""
     return {name: kind(item, f"{key}.{name:.40}") for name, item in decode_object(value, key).items()}
 
 
 def address_text(address: Address) -> str:
-    """An address as `host:port`, which `checks.address` reads."""
+    """Returns an address as `host:port`, which `checks.address` decodes."""
     host, port = address
     return f"{host}:{port}"
--- a/brambleplank/platform/successor_listener.py
+++ b/brambleplank/platform/successor_listener.py
@@ -1,4 +1,4 @@
-"""The Unix socket at which the next process of this proxy asks to take over."""
+"""The Unix socket that accepts the takeover request of the next process of this proxy."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 from brambleplank.net.proxy import Proxy
 from brambleplank.platform.socket_path import ShortSocketPath
 
-RETRY_INTERVAL = 1.0  # seconds until the next try, where the path cannot be opened
+RETRY_INTERVAL = 1.0  # seconds until the next attempt, if the socket cannot be opened
 BACKLOG = 4
 
 
 class SuccessorListener:
-    """Listens at a path that all processes of this proxy use in turn."""
+    """Listens for the successor at a path that all processes of this proxy use in turn."""
 
     def __init__(self, proxy: Proxy, path: str, channels: Factory) -> None:
         self.proxy = proxy
         self.path = path
         self.channels = channels
-        self.port: Any = None  # of Twisted, which types none that is made from a descriptor
+        self.port: Any = None  # a Twisted port; ports made from a descriptor have no type hints
 
     def listen(self) -> None:
-        """Waits for the next process, also after another one has taken the path and ended."""
+        """Listens for a successor; called again after a successor that had taken the path has ended."""
         if self.port:
             self.port.stopListening()
         try:
             listening = self.listening_socket()
         except OSError as error:
-            self.proxy.log(f"upgrade: the next process cannot ask here yet: {error.strerror}")
+            self.proxy.log(f"upgrade: cannot listen for the next process: {error.strerror}; trying again")
             self.port = None
             self.proxy.clock.call_later(RETRY_INTERVAL, self.listen)
             return
         adopt: Any = unix.Port._fromListeningDescriptor
         self.port = adopt(reactor, listening.fileno(), self.channels)
-        # Twisted would remove the path at the end, when it may be that of the next process.
+        # Keeps Twisted from removing the path at the end, as it may belong to the successor by then.
         self.port._bindPath = b"\0"
         self.port.startListening()
         listening.close()
 
     def listening_socket(self) -> socket.socket:
-        """A socket at the path, made under another name and renamed, so that the path is never missing."""
+        """Returns a socket, bound under another name and renamed to the path, which so always exists."""
         listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
         with ShortSocketPath(f"{self.path}.{os.getpid()}") as short_path:
             with suppress(FileNotFoundError):
--- a/brambleplank/platform/takeover.py
+++ b/brambleplank/platform/takeover.py
@@ -1,4 +1,4 @@
-"""How a new process takes over from the one before it: one blocking request, before its reactor runs."""
+"""Takeover from the predecessor: one blocking request, made before the reactor of this process runs."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
 from brambleplank.platform.stored_values import address_text
 from brambleplank.platform.upgrade_messages import TakeoverRequest, TakeoverResponse
 
-TIMEOUT = 2.0  # seconds for the process before to answer; it may be hung
+TIMEOUT = 2.0  # seconds to wait for the answer; the predecessor may hang
 MIN_READ_TIMEOUT = 0.001  # seconds; 0 would make the socket non-blocking
 READ_SIZE = 256 * 1024  # bytes
 
 
 @dataclass
 class TakeoverResult:
-    """What the process before gave."""
+    """What this process received from its predecessor."""
 
     channel: socket.socket
     sockets: dict[str, socket.socket] = field(default_factory=dict)  # listening, by key of the configuration
     state: HandoffState | None = None
-    state_error: str = ""  # why there is no state
-    bytes_after_answer: bytes = b""  # what the process before sent meanwhile
-    unassigned_descriptors: list[int] = field(default_factory=list)  # that came along, ahead of their message
+    state_error: str = ""  # why `state` is None
+    bytes_after_answer: bytes = b""  # received together with the answer
+    unassigned_descriptors: list[int] = field(default_factory=list)  # received ahead of their message
 
     def take_socket(self, key: str) -> socket.socket | None:
-        """The listening socket of that key, if it came; it is the caller's from here on."""
+        """Returns the listening socket of a key, if there is one; the caller owns it."""
         return self.sockets.pop(key, None)
 
     def close(self) -> None:
-        """Closes the sockets that nobody adopted."""
+        """Closes the channel and the listening sockets that were not taken."""
         for each in (self.channel, *self.sockets.values()):
             each.close()
 
 
 def request(path: str, wanted: dict[str, Address], log: Callable[[str], None]) -> TakeoverResult | None:
-    """Takes over from the process before; None if there is none, or none that answers in time.
+    """Takes over from the predecessor; returns None if there is none, or if the takeover fails.
 
-    It blocks, as nothing else runs in this process yet.
+    Blocks; nothing else runs in this process yet.
     """
     channel = retry_transient(
         lambda: socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC), TIMEOUT
@@ -57,12 +57,15 @@
         response, remaining = receive_response(channel, descriptors)
         sockets = listening_sockets(response, wanted, descriptors)
     except (FileNotFoundError, ConnectionRefusedError):
-        channel.close()  # there is no process before, or it has ended
+        channel.close()  # there is no predecessor, or it has ended
         return None
     except (OSError, ValueError, InvalidConfigurationError) as error:
-        # A process that hangs, is of another release or is killed meanwhile must not keep this one from
-        # serving; what it has not given is learnt again.
-        log(f"upgrade: taken over nothing: {type(error).__name__} {error}")
+        # A predecessor that hangs, is of another release or is killed meanwhile must not keep this process
+        # from serving; state that was not handed over is learnt again.
+        log(
+            f"upgrade: takeover failed: {type(error).__name__}: {error}; "
+            "opening sockets of its own, reading the rotation from its file"
+        )
         for descriptor in descriptors:
             os.close(descriptor)
         channel.close()
@@ -78,7 +81,7 @@
 
 
 def send_request(channel: socket.socket, path: str, wanted: dict[str, Address]) -> None:
-    """Connects to the process before, and names the addresses whose sockets are wanted."""
+    """Connects to the predecessor and requests the sockets of the given addresses."""
     with ShortSocketPath(path) as short_path:
         channel.settimeout(TIMEOUT)
         channel.connect(short_path)
@@ -87,19 +90,19 @@
 
 
 def receive_response(channel: socket.socket, descriptors: list[int]) -> tuple[TakeoverResponse, bytes]:
-    """The answer, and the bytes that follow it; descriptors that come with it are appended to the list."""
+    """Returns the answer and the bytes after it; appends the received descriptors to the list."""
     until = time.monotonic() + TIMEOUT
     received = bytearray()
-    # The process before may send its first report of holdings in the same piece as the answer.
+    # The first report of holdings may arrive in the same read as the answer.
     while b"\n" not in received:
         channel.settimeout(max(MIN_READ_TIMEOUT, until - time.monotonic()))
         piece, numbers, _, _ = socket.recv_fds(channel, READ_SIZE, upgrade_messages.MAX_SOCKETS)
         descriptors += numbers
         if not piece:
-            raise ConnectionError("the process before ended amid it")
+            raise ConnectionError("the previous process closed the connection before its answer was complete")
         received += piece
         if len(received) > upgrade_messages.MAX_LINE or time.monotonic() > until:
-            raise TimeoutError("its answer is too long, or late")
+            raise TimeoutError("the answer of the previous process is too long, or took too long")
     answer, _, remaining = bytes(received).partition(b"\n")
     return TakeoverResponse.decode(upgrade_messages.decode(answer)), remaining
 
@@ -107,24 +110,30 @@
 def listening_sockets(
     response: TakeoverResponse, wanted: dict[str, Address], descriptors: list[int]
 ) -> dict[str, socket.socket]:
-    """The sockets that came, by key; each takes its descriptor off the list.
+    """Returns the received listening sockets by key, and removes their descriptors from the list.
 
-    Raises UnfitError if they are not the ones that are wanted.
+    Raises InvalidConfigurationError if a socket was not requested or is bound to another address.
     """
     found = {}
     for key in response.sockets:
         if key not in wanted or not descriptors:
-            raise InvalidConfigurationError(f"sockets: {key!r:.40} is not wanted, or did not come")
+            raise InvalidConfigurationError(
+                f"sockets: {key!r:.40} was not requested, or its descriptor is missing"
+            )
         found[key] = socket.socket(fileno=descriptors.pop(0))
         if found[key].getsockname() != wanted[key]:
-            raise InvalidConfigurationError(f"sockets: {key} is at {found[key].getsockname()}")
+            raise InvalidConfigurationError(
+                f"sockets: {key} is bound to {found[key].getsockname()}, not to the requested address"
+            )
         found[key].setblocking(False)
         found[key].set_inheritable(False)
     return found
 
 
 def state_of(response: TakeoverResponse) -> HandoffState:
-    """The state in an answer. Raises UnfitError where it cannot be read."""
+    """Decodes the state in an answer. Raises InvalidConfigurationError if it cannot be used."""
     if response.state_format != STATE_FORMAT:
-        raise InvalidConfigurationError(f"form {response.state_format!r:.20}, not {STATE_FORMAT}")
+        raise InvalidConfigurationError(
+            f"form: the state has format {response.state_format!r:.20}, this release reads {STATE_FORMAT}"
+        )
     return HandoffState.decode(response.state)
--- a/brambleplank/platform/upgrade_messages.py
+++ b/brambleplank/platform/upgrade_messages.py
@@ -1,6 +1,6 @@
 """Messages on the channel between two processes of one proxy.
 
-Each is a line with a JSON object, whose key `say` names its kind; `MessageKind` lists them.
+Each message is one line with a JSON object; its key `say` holds the `MessageKind`.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from brambleplank.platform.stored_values import decode_integer, decode_mapping, decode_object, decode_strings
 
 MAX_LINE = 16 * 1024 * 1024  # bytes
-MAX_SOCKETS = 4  # listening sockets that are handed off
+MAX_SOCKETS = 4  # listening sockets in one answer
 
 
 class MessageKind(StrEnum):
-    """The value of `say`, and who sends it."""
+    """The value of `say`; each comment gives the sender."""
 
     TAKEOVER_REQUEST = "take"  # new to old, first
     TAKEOVER_RESPONSE = "estate"  # old to new, with the listening sockets
     LISTENING = "here"  # new to old
-    HOLDINGS = "holds"  # either, as they change
-    OPERATOR_COMMAND = "word"  # either
-    SESSION = "flow"  # old to new, as the old one leaves; its sockets come along
+    HOLDINGS = "holds"  # either process, when its holdings change
+    OPERATOR_COMMAND = "word"  # either process
+    SESSION = "flow"  # old to new, as the old process shuts down; with the sockets of the session
     SESSION_ADOPTED = "had"  # new to old, for each session
 
 
@@ -32,36 +32,39 @@
     """A message that can be sent."""
 
     def encode(self) -> dict[str, Any]:
-        """The message as a JSON object."""
+        """Returns the message as a JSON object."""
 
 
 @dataclass(frozen=True)
 class TakeoverRequest:
-    """The new process asks for listening sockets and state."""
+    """Request of the new process for listening sockets and state."""
 
-    state_format: Any  # of the state that it reads
-    addresses: dict[str, Any]  # at which it wants to listen, as text, by key of the configuration
+    state_format: Any  # the format of the state that the new process reads
+    addresses: dict[str, Any]  # `host:port` of the requested sockets, by key of the configuration
 
     def encode(self) -> dict[str, Any]:
-        """The message as a JSON object."""
+        """Returns the message as a JSON object."""
         return {"say": MessageKind.TAKEOVER_REQUEST, "form": self.state_format, "names": self.addresses}
 
     @classmethod
     def decode(cls, message: dict[str, Any]) -> TakeoverRequest:
-        """Raises UnfitError, which names the key."""
+        """Decodes the JSON object. Raises InvalidConfigurationError, which names the key."""
         return cls(message.get("form"), decode_object(message.get("names"), "names"))
 
 
 @dataclass(frozen=True)
 class TakeoverResponse:
-    """What the old process gives. Its state is checked by who restores it: sockets are good without it."""
+    """Answer of the old process.
+
+    Decoding does not check the state, because the sockets are usable without it.
+    """
 
     state_format: Any
-    sockets: list[str]  # keys of the listening sockets that come along, in their order
+    sockets: list[str]  # keys of the attached listening sockets, in the order of their descriptors
     state: Any  # the stored form of `HandoffState`
 
     def encode(self) -> dict[str, Any]:
-        """The message as a JSON object."""
+        """Returns the message as a JSON object."""
         return {
             "say": MessageKind.TAKEOVER_RESPONSE,
             "form": self.state_format,
@@ -71,31 +74,31 @@
 
     @classmethod
     def decode(cls, message: dict[str, Any]) -> TakeoverResponse:
-        """Raises UnfitError, which names the key."""
+        """Decodes the JSON object. Raises InvalidConfigurationError, which names the key."""
         sockets = decode_strings(message.get("sockets"), "sockets")
         return cls(message.get("form"), sockets, message.get("estate"))
 
 
 @dataclass(frozen=True)
 class Listening:
-    """The new process listens."""
+    """Report of the new process that it listens."""
 
     def encode(self) -> dict[str, Any]:
-        """The message as a JSON object."""
+        """Returns the message as a JSON object."""
         return {"say": MessageKind.LISTENING}
 
 
 @dataclass(frozen=True)
 class HoldingsReport:
-    """What a process holds."""
+    """Resources that a process holds."""
 
     descriptors: int
     connections: dict[str, int]  # by server
     attempts: dict[str, int]  # since the last report, by server
-    request_ids: list[str]  # that the other process does not know of
+    request_ids: list[str]  # that the other process does not have yet
 
     def encode(self) -> dict[str, Any]:
-        """The message as a JSON object."""
+        """Returns the message as a JSON object."""
         return {
             "say": MessageKind.HOLDINGS,
             "descriptors": self.descriptors,
@@ -106,7 +109,7 @@
 
     @classmethod
     def decode(cls, message: dict[str, Any]) -> HoldingsReport:
-        """Raises UnfitError, which names the key."""
+        """Decodes the JSON object. Raises InvalidConfigurationError, which names the key."""
         return cls(
             descriptors=decode_integer(message.get("descriptors"), "descriptors"),
             connections=decode_mapping(message.get("held"), "held", decode_integer),
@@ -117,56 +120,56 @@
 
 @dataclass(frozen=True)
 class OperatorCommandMessage:
-    """What an operator called for at the process that sends it."""
+    """An operator command that the sending process has carried out."""
 
-    command: str  # a `CommandKind`, or one of a later release
-    server_id: str  # empty where the call is for no single server
+    command: str  # a `CommandKind`, or a command of a later release
+    server_id: str  # empty if the command does not concern a single server
 
     def encode(self) -> dict[str, Any]:
-        """The message as a JSON object."""
+        """Returns the message as a JSON object."""
         return {"say": MessageKind.OPERATOR_COMMAND, "what": self.command, "server": self.server_id}
 
     @classmethod
     def decode(cls, message: dict[str, Any]) -> OperatorCommandMessage:
-        """Raises UnfitError."""
+        """Decodes the JSON object. Raises InvalidConfigurationError."""
         command, server_id = decode_strings([message.get("what"), message.get("server")], "word")
         return cls(command, server_id)
 
 
 @dataclass(frozen=True)
 class SessionMessage:
-    """A session that is handed off; its sockets come ahead of it."""
+    """A session that is handed off; its descriptors are sent before the message."""
 
-    session: Any  # in the form of the frontend's session transfer, checked by who adopts it
+    session: Any  # in the format of the frontend's session transfer, which checks it
     sockets: int
 
     def encode(self) -> dict[str, Any]:
-        """The message as a JSON object."""
+        """Returns the message as a JSON object."""
         return {"say": MessageKind.SESSION, "flow": self.session, "sockets": self.sockets}
 
     @classmethod
     def decode(cls, message: dict[str, Any]) -> SessionMessage:
-        """Raises UnfitError, which names the key."""
+        """Decodes the JSON object. Raises InvalidConfigurationError, which names the key."""
         return cls(message.get("flow"), decode_integer(message.get("sockets"), "sockets"))
 
 
 @dataclass(frozen=True)
 class SessionAdopted:
-    """The new process has taken the sockets of a session."""
+    """Acknowledgement of the new process for the descriptors of a session."""
 
     def encode(self) -> dict[str, Any]:
-        """The message as a JSON object."""
+        """Returns the message as a JSON object."""
         return {"say": MessageKind.SESSION_ADOPTED}
 
 
 def encode(message: dict[str, Any]) -> bytes:
-    """A message as a line, with its end."""
+    """Returns a message as a line, with the newline."""
     return json.dumps(message, separators=(",", ":")).encode() + b"\n"
 
 
 def decode(line: bytes) -> dict[str, Any]:
-    """The message in a line. Raises ValueError if there is none."""
+    """Returns the message in a line. Raises ValueError if it is not a JSON object."""
     message = json.loads(line)
     if not isinstance(message, dict):
-        raise ValueError("no object")
+        raise ValueError("not a JSON object")
     return message
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -197,7 +197,7 @@
         peers_all="127.0.0.1:9",
         **({"listen": address} if held == "listen" else {}),
     )
-    program.next_log_line("is in use, waiting")
+    program.next_log_line("is in use; retrying")
     before.close()
     program.address = where if held == "listen" else program.address
     assert program.open_request().read_line() == "UP r1"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -174,7 +174,7 @@
     assert send_command(program, "/-/servers/s1/disable") == 200
     program.process.send_signal(signal.SIGSTOP)
     new = ready(program.upgrade())
-    new.next_log_line("upgrade: taken over nothing")
+    new.next_log_line("upgrade: takeover failed: ")
     program.process.kill()
     program.process.wait()
     assert {program.open_request(f"{key:x}").read_line() for key in range(8)} == {"UP one"}
