--- a/tests/test_golden_forms.py
+++ b/tests/test_golden_forms.py
@@ -37,10 +37,10 @@
 
 GOLDEN = Path(__file__).parent / "golden"
 NOW = 1_700_000_100.0
-ANCHOR = 1_700_000_000.0
+EPOCH_OFFSET = 1_700_000_000.0
 
 
-def golden(name: str) -> Any:
+def load_golden(name: str) -> Any:
     return json.loads((GOLDEN / name).read_text())
 
 
@@ -65,7 +65,7 @@
     call_after_reads = call_later
 
 
-def process() -> tuple[Proxy, Discovery]:
+def make_proxy() -> tuple[Proxy, Discovery]:
     clock: Any = FixedClock()
     proxy = Proxy(
         clock,
@@ -84,10 +84,10 @@
 
 
 def test_handed_off_state_is_read_value_by_value_and_written_as_before() -> None:
-    stored = golden("handoff.json")
-    proxy, discovery = process()
+    stored = load_golden("handoff.json")
+    proxy, discovery = make_proxy()
     HandoffState.decode(stored).restore(proxy, discovery)
-    assert proxy.clock.epoch_offset == ANCHOR
+    assert proxy.clock.epoch_offset == EPOCH_OFFSET
     assert proxy.started_at == NOW - 50 and proxy.serving and not proxy.draining
     assert proxy.start_times.starts == {"s1": (NOW - 7.5, NOW - 8.25), "s3": (NOW - 600.0, NOW - 601.0)}
     assert proxy.rotation.out_since == {"s2": NOW - 30.0}
@@ -128,16 +128,18 @@
         and upstream_endpoint_of(s1).reported_typical_delay == 0.0015
     )
     assert upstream_endpoint_of(s1).address == ("127.0.0.1", 7102)
-    homes = {spot: (server.id, until) for spot, (server, until) in balancer.groups.reported.items()}
-    assert homes == {0x01020304: ("s3", NOW + 9.0)}
+    group_servers = {
+        position: (server.id, until) for position, (server, until) in balancer.groups.reported.items()
+    }
+    assert group_servers == {0x01020304: ("s3", NOW + 9.0)}
     assert set(proxy.admission.recent_ids) == {"1f", "2f"}
-    again = json.loads(json.dumps(HandoffState.capture(proxy, discovery).encode()))
-    assert again == golden("handoff-again.json")
-    assert list(again) == list(golden("handoff-again.json"))
+    captured = json.loads(json.dumps(HandoffState.capture(proxy, discovery).encode()))
+    assert captured == load_golden("handoff-again.json")
+    assert list(captured) == list(load_golden("handoff-again.json"))
 
 
 def test_upgrade_messages_are_lines_as_before() -> None:
-    stored = golden("upgrade-messages.json")
+    stored = load_golden("upgrade-messages.json")
     for line in stored:
         assert upgrade_messages.encode(upgrade_messages.decode(line.encode())).decode() == line + "\n"
     kinds = [json.loads(line)["say"] for line in stored]
@@ -153,10 +155,10 @@
 
 
 def test_the_traffic_class_of_a_handed_off_connection_keeps_its_form() -> None:
-    stored = golden("traffic-class.json")
-    kind = TrafficClass(0.3, Idempotency.IDEMPOTENT_IN_GROUP, "zone", 5.0, 0.1, 1.8, 3)
-    assert session_transfer.encode_traffic_class(kind) == stored
-    assert session_transfer.decode_traffic_class(stored) == kind
+    stored = load_golden("traffic-class.json")
+    traffic_class = TrafficClass(0.3, Idempotency.IDEMPOTENT_IN_GROUP, "zone", 5.0, 0.1, 1.8, 3)
+    assert session_transfer.encode_traffic_class(traffic_class) == stored
+    assert session_transfer.decode_traffic_class(stored) == traffic_class
 
 
 def test_the_rotation_file_is_read_and_written_as_before(tmp_path: Path) -> None:
@@ -176,28 +178,28 @@
 # Datagrams between processes.
 
 
-def talk(sent: list[str], heard: list[Any]) -> PeerMessenger:
+def make_messenger(sent: list[str], received: list[Any]) -> PeerMessenger:
     servers = [Server(f"s{number}", 0.0) for number in range(4)]
 
-    def hear(kind: str) -> Callable[..., None]:
-        def note(*what: Any) -> None:
-            heard.append([kind, *map(plain, what)])
+    def recorder(kind: str) -> Callable[..., None]:
+        def record(*what: Any) -> None:
+            received.append([kind, *map(server_ids, what)])
 
-        return note
+        return record
 
     return PeerMessenger(
         lambda data, to: sent.append(f"{to} {data.hex()}"),
         64,
         lambda send: None,
         lambda: ServerTags(servers),
-        hear("time"),
-        hear("held"),
-        hear("home"),
-        hear("turn"),
+        recorder("time"),
+        recorder("held"),
+        recorder("home"),
+        recorder("turn"),
     )
 
 
-def plain(value: Any) -> Any:
+def server_ids(value: Any) -> Any:
     """A server by its id, also as a key."""
     if isinstance(value, Server):
         return value.id
@@ -205,26 +207,26 @@
 
 
 def test_datagrams_between_proxies_are_written_and_read_as_before() -> None:
-    stored = golden("peer-datagrams.json")
+    stored = load_golden("peer-datagrams.json")
     sent: list[str] = []
-    heard: list[Any] = []
-    speaker = talk(sent, heard)
-    by_id = speaker.tags().by_id
-    speaker.report_message_time(by_id["s0"], 0.25, 0.0)
-    speaker.report_message_time(by_id["s1"], 0.5, 0.00125)
-    speaker.send_load_report({by_id["s0"]: 3, by_id["s2"]: 300}, False, None, False)
-    speaker.send_load_report({by_id["s3"]: 5}, True, None, False)
-    speaker.send_load_report({by_id["s1"]: 70_000}, True, 2, True)
-    speaker.send_load_report({by_id["s1"]: 9}, False, 2, True)
-    speaker.send_load_report({}, False, 1, False)
-    speaker.report_group_servers({0x0102030405060708090A0B0C0D0E0F10: by_id["s3"]})
-    for word in (2, 1, 0):
-        speaker.send_permit_message(by_id["s2"], 3, word)
-    speaker.send()
+    received: list[Any] = []
+    messenger = make_messenger(sent, received)
+    by_id = messenger.tags().by_id
+    messenger.report_message_time(by_id["s0"], 0.25, 0.0)
+    messenger.report_message_time(by_id["s1"], 0.5, 0.00125)
+    messenger.send_load_report({by_id["s0"]: 3, by_id["s2"]: 300}, False, None, False)
+    messenger.send_load_report({by_id["s3"]: 5}, True, None, False)
+    messenger.send_load_report({by_id["s1"]: 70_000}, True, 2, True)
+    messenger.send_load_report({by_id["s1"]: 9}, False, 2, True)
+    messenger.send_load_report({}, False, 1, False)
+    messenger.report_group_servers({0x0102030405060708090A0B0C0D0E0F10: by_id["s3"]})
+    for kind in (2, 1, 0):
+        messenger.send_permit_message(by_id["s2"], 3, kind)
+    messenger.send()
     assert sent == stored["sent"]
     for line in stored["sent"]:
-        speaker.receive(bytes.fromhex(line.split(" ")[1]), 7)
-    assert heard == stored["heard"]
+        messenger.receive(bytes.fromhex(line.split(" ")[1]), 7)
+    assert received == stored["heard"]
 
 
 MESSAGES: list[messages.Message] = [
@@ -247,7 +249,7 @@
 
 
 def test_datagrams_of_the_fleet_are_written_and_read_as_before() -> None:
-    stored = golden("fleet-datagrams.json")
+    stored = load_golden("fleet-datagrams.json")
     assert [messages.encode(message).hex() for message in MESSAGES] == stored
     assert [messages.decode(bytes.fromhex(data)) for data in stored] == MESSAGES
 
@@ -256,7 +258,7 @@
 
 
 def test_the_metrics_page_keeps_its_names() -> None:
-    proxy, _ = process()
+    proxy, _ = make_proxy()
     proxy.event_log.metrics.count("requests_ended", "rejected")
     proxy.event_log.metrics.count("requests_refused", "deadline")
     proxy.event_log.metrics.count("attempts_ended", "timeout")
@@ -274,9 +276,9 @@
 
 def test_operators_calls_are_answered_as_before(program: Program) -> None:
     answers = []
-    for call, _ in golden("operator-answers.json"):
+    for call, _ in load_golden("operator-answers.json"):
         line = operator_connection(program)
         line.send_line(f"{call} HTTP/1.1\r\nHost: here\r\n")
         text = line.file.read().decode()
         answers.append([call, [part for part in text.split("\r\n") if not part.startswith("Date: ")]])
-    assert answers == golden("operator-answers.json")
+    assert answers == load_golden("operator-answers.json")
--- a/tests/test_handoff_state.py
+++ b/tests/test_handoff_state.py
@@ -47,19 +47,19 @@
     discovery.apply_initial_list(endpoint_list(41, True, **hosts))
     proxy.operator_commands.take_out_of_rotation("s2")
     draining_server = proxy.balancer.servers["s1"]
-    cold = proxy.balancer.servers["s0"]
+    slow_start_server = proxy.balancer.servers["s0"]
     draining_server.unready_since = 77.0
-    cold.started = 99.5
-    cold.slow_start_slot = 3
-    cold.slow_start_sent = 2
-    cold.trial_attempts = 1
-    proxy.balancer.groups.displaced[5 << 100] = cold
+    slow_start_server.started = 99.5
+    slow_start_server.slow_start_slot = 3
+    slow_start_server.slow_start_sent = 2
+    slow_start_server.trial_attempts = 1
+    proxy.balancer.groups.displaced[5 << 100] = slow_start_server
     proxy.admission.recent_ids["1a"] = 1.0
-    found: dict[str, Any] = json.loads(json.dumps(HandoffState.capture(proxy, discovery).encode()))
-    return found
+    stored: dict[str, Any] = json.loads(json.dumps(HandoffState.capture(proxy, discovery).encode()))
+    return stored
 
 
-def test_state_is_adopted_whole() -> None:
+def test_state_is_restored_completely() -> None:
     proxy, discovery = make_proxy()
     HandoffState.decode(make_state()).restore(proxy, discovery)
     servers = proxy.balancer.servers
@@ -67,37 +67,42 @@
     ready = EndpointStatus.READY
     draining = EndpointStatus.DRAINING
     assert [servers[f"s{n}"].status for n in range(3)] == [ready, draining, draining]
-    cold = servers["s0"]
-    assert (servers["s1"].unready_since, cold.started, cold.slow_start_slot, cold.slow_start_sent) == (
+    slow_start_server = servers["s0"]
+    assert (
+        servers["s1"].unready_since,
+        slow_start_server.started,
+        slow_start_server.slow_start_slot,
+        slow_start_server.slow_start_sent,
+    ) == (
         77.0,
         99.5,
         3,
         2,
     )
-    assert (cold.trial_attempts, list(proxy.admission.recent_ids)) == (1, ["1a"])
+    assert (slow_start_server.trial_attempts, list(proxy.admission.recent_ids)) == (1, ["1a"])
     assert [server.id for server, _ in proxy.balancer.groups.reported.values()] == ["s0"]
     record_connections_elsewhere(proxy, "the other", {"s0": 3}, {"s0": 2})
-    sent = cold.slow_start_sent
+    sent = slow_start_server.slow_start_sent
     record_connections_elsewhere(proxy, "the other", {"s0": 1}, {})
     # Sessions that are handed off are not sent anew.
-    assert cold.connections_elsewhere == 1 and cold.slow_start_sent == sent >= 2
+    assert slow_start_server.connections_elsewhere == 1 and slow_start_server.slow_start_sent == sent >= 2
     # What the other process holds is in the aggregate, and counts once.
-    proxy.balancer.load_report_received(200.0, 3, [(cold, 9)], True, True)
+    proxy.balancer.load_report_received(200.0, 3, [(slow_start_server, 9)], True, True)
     record_connections_elsewhere(proxy, "the other", {"s0": 2}, {})
-    assert cold.connections_elsewhere == 10
+    assert slow_start_server.connections_elsewhere == 10
 
 
 @pytest.mark.parametrize("key", sorted(make_state()))
-@pytest.mark.parametrize("wrong", [None, "x", [1], {"s0": "x"}, {"s0": {}}, float("nan")], ids=range(6))
-def test_damaged_state_is_refused_by_its_key(key: str, wrong: Any) -> None:
-    value = {**copy.deepcopy(make_state()), key: wrong}
-    if (key, wrong) == ("window", None) or (key == "ids" and wrong == ["x"]):
+@pytest.mark.parametrize("invalid", [None, "x", [1], {"s0": "x"}, {"s0": {}}, float("nan")], ids=range(6))
+def test_invalid_state_is_rejected_with_its_key(key: str, invalid: Any) -> None:
+    value = {**copy.deepcopy(make_state()), key: invalid}
+    if (key, invalid) == ("window", None) or (key == "ids" and invalid == ["x"]):
         return
     with pytest.raises(InvalidConfigurationError, match=rf"estate\.{key}"):
         HandoffState.decode(value)
 
 
-def test_wall_clock_step_moves_no_time_of_the_state() -> None:
+def test_wall_clock_step_does_not_shift_restored_times() -> None:
     state = make_state()
     proxy, discovery = make_proxy()
     proxy.clock.epoch_offset -= 3600.0  # the next process has read a wall clock that was set back by an hour
@@ -107,7 +112,7 @@
     assert proxy.start_times.starts == {name: tuple(start) for name, start in state["starts"].items()}
 
 
-def test_state_of_an_older_build_without_clock_is_adopted() -> None:
+def test_state_of_an_older_release_without_clock_is_restored() -> None:
     state = {key: value for key, value in make_state().items() if key not in ("clock", "starts")}
     proxy, discovery = make_proxy()
     before = proxy.clock.epoch_offset
@@ -119,10 +124,10 @@
 
 
 @given(st.dictionaries(IDS, st.tuples(st.sampled_from(EndpointStatus), STARTS)))
-def test_written_list_reads_back_the_same(endpoints: dict[str, tuple[EndpointStatus, float]]) -> None:
+def test_encoded_list_decodes_to_the_same_list(endpoints: dict[str, tuple[EndpointStatus, float]]) -> None:
     listed = [make_endpoint(name, *each) for name, each in endpoints.items()]
     addresses = {each[0]: ("10.0.0.1", 80) for each in listed}
-    version, whole, read, where = decode_list(encode_list(7, listed, addresses))
-    assert (version, whole, where) == (7, True, addresses)
-    assert [e[:5] for e in read] == [e[:5] for e in listed]
-    assert all(abs(one[5] - other[5]) < 1e-6 for one, other in zip(read, listed, strict=True))
+    version, is_whole, decoded, decoded_addresses = decode_list(encode_list(7, listed, addresses))
+    assert (version, is_whole, decoded_addresses) == (7, True, addresses)
+    assert [e[:5] for e in decoded] == [e[:5] for e in listed]
+    assert all(abs(left[5] - right[5]) < 1e-6 for left, right in zip(decoded, listed, strict=True))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,7 +11,7 @@
 from brambleplank.records import Server
 
 
-class Successor:
+class RecordingChannel:
     """Stands for the channel to the process after this one; keeps what it was sent."""
 
     def __init__(self) -> None:
@@ -22,8 +22,8 @@
         self.messages.append(message.encode())
 
 
-def test_a_second_attempt_at_a_server_in_slow_start_is_reported_though_nothing_else_has_changed() -> None:
-    channel: Any = Successor()
+def test_each_attempt_during_slow_start_is_reported_even_if_nothing_else_changed() -> None:
+    channel: Any = RecordingChannel()
     siblings = SiblingProcesses()
     siblings.set_has_successor(True)
     proxy: Any = SimpleNamespace(
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -16,8 +16,8 @@
 from tests.waiting import wait_until
 
 StartProgram = Callable[..., Program]
-SELF = "import os, signal, sys\nsend = lambda name: os.kill(os.getpid(), getattr(signal, name))"
-AMID_IMPORTS = """
+SEND_SIGNAL = "import os, signal, sys\nsend = lambda name: os.kill(os.getpid(), getattr(signal, name))"
+SIGHUP_DURING_IMPORT = """
 class Finder:
     def find_spec(self, name, path=None, target=None):
         if name == {module!r}:
@@ -25,25 +25,25 @@
             send("SIGHUP")
 sys.meta_path.insert(0, Finder())
 """
-AFTER_THE_READ = """
+SIGHUP_AFTER_READ = """
 from brambleplank.platform import configuration
-first = configuration.read
-def read(*told):
-    configuration.read, found = first, first(*told)
+original_read = configuration.read
+def read(*arguments):
+    configuration.read, result = original_read, original_read(*arguments)
     os.replace({new!r}, os.environ["ROUTER_CONFIG"])
     send("SIGHUP")
-    return found
+    return result
 configuration.read = read
 """
 RUN_AS_PROGRAM = "import runpy\nrunpy.run_module('brambleplank', run_name='__main__')"
 
 
-def begin(program: Program, code: str) -> None:
+def restart_with(program: Program, code: str) -> None:
     """The same program started anew, as the platform does, with code ahead of it."""
     program.process.kill()
     program.process.wait()
     program.process, program.log_lines = (
-        start_process(program.config_path, f"{SELF}\n{code}\n{RUN_AS_PROGRAM}"),
+        start_process(program.config_path, f"{SEND_SIGNAL}\n{code}\n{RUN_AS_PROGRAM}"),
         [],
     )
 
@@ -53,17 +53,17 @@
 )
 def test_sighup_during_imports_does_not_end_the_process(start_program: StartProgram, module: str) -> None:
     program = start_program(endpoint_list(41, True, s0=StandInServer().address))
-    begin(program, AMID_IMPORTS.format(module=module))
+    restart_with(program, SIGHUP_DURING_IMPORT.format(module=module))
     assert program.open_request().read_line() == "UP r1"
     assert "shutdown: drained" in program.stop() and program.process.returncode == 0
 
 
 def test_sighup_between_reading_and_start_is_applied(start_program: StartProgram, tmp_path: Path) -> None:
     program = start_program(endpoint_list(41, True, s0=StandInServer().address))
-    elsewhere, new = StandInDiscovery(), tmp_path / "new.json"
-    new.write_text(json.dumps({**program.config, "discovery": elsewhere.address}))
-    begin(program, AFTER_THE_READ.format(new=str(new)))
-    assert elsewhere.accept_watch()[0].startswith("GET /discovery/hosts")
+    new_discovery, new_file = StandInDiscovery(), tmp_path / "new.json"
+    new_file.write_text(json.dumps({**program.config, "discovery": new_discovery.address}))
+    restart_with(program, SIGHUP_AFTER_READ.format(new=str(new_file)))
+    assert new_discovery.accept_watch()[0].startswith("GET /discovery/hosts")
 
 
 @pytest.mark.parametrize("name", ["SIGHUP", "SIGTERM"])
@@ -80,17 +80,17 @@
         assert program.process.returncode == 0
 
 
-HELD_READ = """
+DELAYED_READ = """
 import time
 from brambleplank.sidecar import run
-first = run.read
+original_read = run.read
 def read(path):
-    found = first(path)
+    result = original_read(path)
     if os.path.exists({hold!r}):
         os.replace({hold!r}, {hold!r} + ".seen")
     while os.path.exists({hold!r} + ".seen"):
         time.sleep(0.01)
-    return found
+    return result
 run.read = read
 """
 
@@ -101,7 +101,7 @@
     hold = tmp_path / "hold"
     program = start_sidecar(
         endpoint_list(1, True, s0=StandInServer().address),
-        patch="import os\n" + HELD_READ.format(hold=str(hold)),
+        patch="import os\n" + DELAYED_READ.format(hold=str(hold)),
     )
     assert program.open_request().read_line() == "UP r1"
     hold.touch()
--- a/tests/test_start_errors.py
+++ b/tests/test_start_errors.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "named"),
+    ("changes", "key"),
     [
         ({"listen": None}, "listen"),
         ({"listen": "here"}, "listen"),
@@ -37,25 +37,23 @@
         ({"settings": {**PLATFORM_SETTINGS, "tick_us": float("inf")}}, "tick_us"),
     ],
 )
-def test_wrong_key_is_named_and_nothing_starts(
-    start_program: StartProgram, changes: dict[str, Any], named: str
+def test_invalid_key_is_reported_and_the_start_fails(
+    start_program: StartProgram, changes: dict[str, Any], key: str
 ) -> None:
     program = start_program(**{"known": endpoint_list(0, True), **changes})
     log = program.remaining_log()
     assert program.process.returncode not in (0, None)
-    assert named in log and "Traceback" not in log and log.count("\n") == 1
+    assert key in log and "Traceback" not in log and log.count("\n") == 1
 
 
-def test_missing_file_wrong_file_and_used_address_are_named(
-    start_program: StartProgram, tmp_path: Path
-) -> None:
+def test_unreadable_file_and_address_in_use_are_reported(start_program: StartProgram, tmp_path: Path) -> None:
     (tmp_path / "bad.json").write_text('{"name": ')
     (tmp_path / "list.json").write_text("[]")
     for path in (None, tmp_path / "none.json", tmp_path / "bad.json", tmp_path / "list.json"):
         process = start_process(path)
         log = process.communicate(timeout=15)[1]
         assert process.returncode and "ROUTER_CONFIG" in log and "Traceback" not in log
-    taken = socket.create_server(("127.0.0.1", 0))
-    program = start_program(endpoint_list(0, True), listen=f"127.0.0.1:{taken.getsockname()[1]}")
+    listener = socket.create_server(("127.0.0.1", 0))
+    program = start_program(endpoint_list(0, True), listen=f"127.0.0.1:{listener.getsockname()[1]}")
     log = program.remaining_log()
     assert program.process.returncode and "listen" in log and "Traceback" not in log
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,8 +20,8 @@
 
 StartProgram = Callable[..., Program]
 # However busy the machine is, no answer is late, and no server looks strained or silent for it.
-PATIENT = {"setup_target_us": 10_000_000, "deadline_us": 30_000_000}
-PATIENT_TOO = overrides(
+LONG_DEADLINES = {"setup_target_us": 10_000_000, "deadline_us": 30_000_000}
+LONG_FIRST_LINE_TIMEOUTS = overrides(
     {
         "brambleplank.frontends.line.client_connections:FIRST_LINE_TIMEOUT": 30,
         "brambleplank.frontends.line.session_transfer:FIRST_LINE_TIMEOUT": 30,
@@ -29,34 +29,36 @@
 )
 
 
-def first(start_program: StartProgram, *servers: StandInServer, **changes: Any) -> Program:
-    return start_operable_program(start_program, *servers, **{"settings": settings(feed=PATIENT), **changes})
+def start_first_process(start_program: StartProgram, *servers: StandInServer, **changes: Any) -> Program:
+    return start_operable_program(
+        start_program, *servers, **{"settings": settings(feed=LONG_DEADLINES), **changes}
+    )
 
 
-def ready(program: Program) -> Program:
+def wait_until_ready(program: Program) -> Program:
     """The process, once it says that it is ready."""
     while send_command(program, "/-/ready", "GET") != 200:
         pass
     return program
 
 
-def leave(program: Program) -> str:
+def stop_gracefully(program: Program) -> str:
     """It is told to leave, and leaves with 0; what it logged."""
-    said = program.stop()
-    assert program.process.returncode == 0, said
-    return said
+    log = program.stop()
+    assert program.process.returncode == 0, log
+    return log
 
 
-class Talker(threading.Thread):
+class TalkingClient(threading.Thread):
     """Connects, talks a little, ends, and so on; and one that is moved comes again."""
 
     def __init__(self, program: Program, key: str) -> None:
         super().__init__(daemon=True)
-        self.program, self.key, self.going = program, key, True
+        self.program, self.key, self.running = program, key, True
         self.answers: dict[str, int] = {}
 
     def run(self) -> None:
-        while self.going:
+        while self.running:
             client = self.program.open_request(self.key)
             answer = client.read_line()
             for _ in range(20 if answer.startswith("UP ") else 0):
@@ -78,90 +80,90 @@
         if line.read_line().startswith("OPEN "):
             self.opening_count += 1
             line.send_line(str(self.answer))
-            while (said := line.read_line()) not in ("", "reset"):
-                line.send_line(said)
+            while (text := line.read_line()) not in ("", "reset"):
+                line.send_line(text)
 
 
 def test_consecutive_upgrades_keep_clients_and_rotation(
     start_program: StartProgram,
 ) -> None:
-    one, other = Echo("UP one"), Echo("UP other")
-    program = first(start_program, one, other)
-    ready(program)
-    talkers = [Talker(program, f"{key:x}") for key in range(6)]
-    for talker in talkers:
-        talker.start()
-    old, banned = program, 0
+    server_0, server_1 = Echo("UP one"), Echo("UP other")
+    program = start_first_process(start_program, server_0, server_1)
+    wait_until_ready(program)
+    clients = [TalkingClient(program, f"{key:x}") for key in range(6)]
+    for client_thread in clients:
+        client_thread.start()
+    old, openings_while_out = program, 0
     for turn in range(3):
         if turn == 1:
             assert send_command(old, "/-/servers/s0/disable") == 200
-        new = ready(old.upgrade())
-        said = leave(old)
+        new = wait_until_ready(old.upgrade())
+        log = stop_gracefully(old)
         if turn == 1:
-            banned = one.opening_count
-        assert "upgrade: listen handed to the next process" in said
-        assert "end rejected" not in said and "end idle" not in said and "fault" not in said
+            openings_while_out = server_0.opening_count
+        assert "upgrade: listen handed to the next process" in log
+        assert "end rejected" not in log and "end idle" not in log and "fault" not in log
         old = new
-    assert one.opening_count == banned and send_command(old, "/-/servers/s0/enable") == 200
+    assert server_0.opening_count == openings_while_out and send_command(old, "/-/servers/s0/enable") == 200
     until = time.monotonic() + TEST_TIMEOUT
-    while one.opening_count == banned:
+    while server_0.opening_count == openings_while_out:
         assert time.monotonic() < until
         time.sleep(0.01)  # or this thread keeps the others from their work
-    for talker in talkers:
-        talker.going = False
-    for talker in talkers:
-        talker.join()
+    for client_thread in clients:
+        client_thread.running = False
+    for client_thread in clients:
+        client_thread.join()
     # Who stands at the server that is called out is moved, if it talks for that long on a busy machine.
-    assert set().union(*(talker.answers for talker in talkers)) - {"MOVE"} == {"M 1"}
+    assert set().union(*(client_thread.answers for client_thread in clients)) - {"MOVE"} == {"M 1"}
     assert "upgrade: taken over\n" in old.stop()
 
 
 @pytest.mark.parametrize("at", ["old", "new"])
 def test_operator_command_at_either_process_binds_both(start_program: StartProgram, at: str) -> None:
-    one, other = StandInServer("UP one"), StandInServer("UP other")
-    program = first(start_program, one, other)
-    old = ready(program)
-    new = ready(old.upgrade())
-    said_at = old if at == "old" else new
-    assert send_command(said_at, "/-/servers/s0/disable") == 200
+    server_0, server_1 = StandInServer("UP one"), StandInServer("UP other")
+    program = start_first_process(start_program, server_0, server_1)
+    old = wait_until_ready(program)
+    new = wait_until_ready(old.upgrade())
+    called = old if at == "old" else new
+    assert send_command(called, "/-/servers/s0/disable") == 200
     assert "operator: s0 out" in (new if at == "old" else old).next_log_line("operator: ")
     assert {program.open_request(f"{key:x}").read_line() for key in range(8)} == {"UP other"}
-    assert send_command(said_at, "/-/drain") == 200
+    assert send_command(called, "/-/drain") == 200
     old.next_log_line("operator: drain")
     new.next_log_line("operator: drain")
     assert program.connect("PING").read_line() == "NO"
-    leave(old)
+    stop_gracefully(old)
     assert send_command(new, "/-/resume") == 200 and program.connect("PING").read_line() == "PONG"
 
 
 def test_old_process_accepts_again_if_the_new_one_dies(start_program: StartProgram) -> None:
-    program = first(start_program, StandInServer())
-    stays = program.open_request()
-    assert stays.read_line() == "UP r1"
-    for how in (signal.SIGKILL, signal.SIGTERM):
-        new = ready(program.upgrade())
+    program = start_first_process(start_program, StandInServer())
+    established = program.open_request()
+    assert established.read_line() == "UP r1"
+    for signal_number in (signal.SIGKILL, signal.SIGTERM):
+        new = wait_until_ready(program.upgrade())
         assert program.open_request().read_line() == "UP r1"
-        new.process.send_signal(how)
+        new.process.send_signal(signal_number)
         program.next_log_line("the next process is gone")
         assert program.open_request().read_line() == "UP r1" and program.connect("PING").read_line() == "PONG"
-    stays.send_line("M 1")
-    assert "fault" not in program.stop() and stays.read_line() == "MOVE"
+    established.send_line("M 1")
+    assert "fault" not in program.stop() and established.read_line() == "MOVE"
 
 
 def test_killed_old_process_costs_only_its_own_connections(start_program: StartProgram) -> None:
-    one, other = StandInServer("UP one"), StandInServer("UP other")
-    program = first(start_program, one, other)
-    ready(program)
+    server_0, server_1 = StandInServer("UP one"), StandInServer("UP other")
+    program = start_first_process(start_program, server_0, server_1)
+    wait_until_ready(program)
     lost = program.open_request()
-    there, out = ("UP one", "s1") if lost.read_line() == "UP one" else ("UP other", "s0")
-    assert send_command(program, f"/-/servers/{out}/disable") == 200
-    new = ready(program.upgrade())
+    server_name, other_id = ("UP one", "s1") if lost.read_line() == "UP one" else ("UP other", "s0")
+    assert send_command(program, f"/-/servers/{other_id}/disable") == 200
+    new = wait_until_ready(program.upgrade())
     kept = program.open_request()
-    assert kept.read_line() == there
+    assert kept.read_line() == server_name
     program.process.kill()
     assert lost.read_line() in ("", "reset")
     new.next_log_line("the process before is gone")
-    assert {program.open_request(f"{key:x}").read_line() for key in range(8)} == {there}
+    assert {program.open_request(f"{key:x}").read_line() for key in range(8)} == {server_name}
     kept.send_line("M 1")
     assert kept.socket.getpeername()
 
@@ -169,40 +171,40 @@
 def test_rotation_file_is_read_if_the_old_process_hangs(
     start_program: StartProgram,
 ) -> None:
-    one, other = StandInServer("UP one"), StandInServer("UP other")
-    program = ready(first(start_program, one, other))
+    server_0, server_1 = StandInServer("UP one"), StandInServer("UP other")
+    program = wait_until_ready(start_first_process(start_program, server_0, server_1))
     assert send_command(program, "/-/servers/s1/disable") == 200
     program.process.send_signal(signal.SIGSTOP)
-    new = ready(program.upgrade())
+    new = wait_until_ready(program.upgrade())
     new.next_log_line("upgrade: takeover failed: ")
     program.process.kill()
     program.process.wait()
     assert {program.open_request(f"{key:x}").read_line() for key in range(8)} == {"UP one"}
 
 
-@pytest.mark.parametrize("left", ["socket", "folder", "words", "list", "text"])
+@pytest.mark.parametrize("leftover", ["socket", "folder", "words", "list", "text"])
 def test_leftover_or_broken_files_never_prevent_a_start(
-    start_program: StartProgram, tmp_path: Path, left: str
+    start_program: StartProgram, tmp_path: Path, leftover: str
 ) -> None:
-    program = first(start_program, StandInServer())
-    ready(program)
+    program = start_first_process(start_program, StandInServer())
+    wait_until_ready(program)
     program.process.kill()
     program.process.wait()
-    here, words = sorted(tmp_path.glob("brambleplank-*.sock")), tmp_path / "brambleplank-%s-%d.words"
-    path = Path(str(words) % program.address)
-    if left == "folder":
-        here[0].unlink()
-        here[0].mkdir()
-    elif left != "socket":
+    sockets, words_path = sorted(tmp_path.glob("brambleplank-*.sock")), tmp_path / "brambleplank-%s-%d.words"
+    path = Path(str(words_path) % program.address)
+    if leftover == "folder":
+        sockets[0].unlink()
+        sockets[0].mkdir()
+    elif leftover != "socket":
         texts = {"words": '{"out": {"s0": ', "list": "[1]", "text": '{"out": {"s0": "x"}, "back": {}}'}
-        path.write_text(texts[left])
-    new = ready(program.upgrade())
+        path.write_text(texts[leftover])
+    new = wait_until_ready(program.upgrade())
     assert program.open_request().read_line() == "UP r1"
-    said = new.stop()
-    assert (": ignored: " in said) == (left in ("words", "list", "text"))
+    log = new.stop()
+    assert (": ignored: " in log) == (leftover in ("words", "list", "text"))
 
 
-OLD = """
+ANSWER_PATCH = """
 import json, socket, threading
 from brambleplank.platform import handoff
 def old(self, channel, request):
@@ -229,9 +231,9 @@
     start_program: StartProgram, answer: bytes, then: str
 ) -> None:
     server = StandInServer()
-    program = first(start_program, server, patch=OLD.format(answer=answer, then=then))
-    ready(program)
-    new = ready(program.upgrade())
+    program = start_first_process(start_program, server, patch=ANSWER_PATCH.format(answer=answer, then=then))
+    wait_until_ready(program)
+    new = wait_until_ready(program.upgrade())
     assert "upgrade: " in new.next_log_line("upgrade: ")
     program.process.kill()
     program.process.wait()
@@ -243,14 +245,16 @@
     patch = """
 from brambleplank.platform import handoff
 respond = handoff.Handoff.respond_to_takeover
-def at_once(self, channel, request):
+def respond_and_report(self, channel, request):
     respond(self, channel, request)
     self.report_holdings()
     self.proxy.operator_commands.take_out_of_rotation("s0")
-handoff.Handoff.respond_to_takeover = at_once
+handoff.Handoff.respond_to_takeover = respond_and_report
 """
-    program = ready(first(start_program, StandInServer("UP one"), StandInServer("UP other"), patch=patch))
-    new = ready(program.upgrade())
+    program = wait_until_ready(
+        start_first_process(start_program, StandInServer("UP one"), StandInServer("UP other"), patch=patch)
+    )
+    new = wait_until_ready(program.upgrade())
     assert {program.open_request(f"{key:x}").read_line() for key in range(8)} == {"UP other"}
     assert "upgrade: taken over\n" in new.stop()
 
@@ -266,10 +270,10 @@
     self.proxy.log(f"the first holds {report.connections}")
 Holdings.report_received = logged
 """
-    program = ready(first(start_program, StandInServer()))
+    program = wait_until_ready(start_first_process(start_program, StandInServer()))
     clients = [program.open_request(f"{key:x}") for key in range(12)]
     assert {client.read_line() for client in clients} == {"UP r1"}
-    new = ready(program.upgrade(patch=patch))
+    new = wait_until_ready(program.upgrade(patch=patch))
     new.next_log_line("the first holds {'s0': 12}")
     assert [program.open_request(f"{key:x}").read_line() for key in range(8)] == ["UP r1"] * 8
 
@@ -277,21 +281,21 @@
 def test_ids_versions_and_drains_are_known_to_the_new_process(
     start_program: StartProgram,
 ) -> None:
-    one, other = StandInServer("UP one"), StandInServer("UP other")
-    program = first(start_program, one, other)
+    server_0, server_1 = StandInServer("UP one"), StandInServer("UP other")
+    program = start_first_process(start_program, server_0, server_1)
     clients = [program.open_request(f"{key:x}") for key in range(8)]
     assert {client.read_line() for client in clients} == {"UP one", "UP other"}
-    program.send_endpoints(s0=(one.address, "draining"), s1=other.address)
+    program.send_endpoints(s0=(server_0.address, "draining"), s1=server_1.address)
     while (
         program.open_request("ab").read_line() != "UP other"
         or program.open_request("cd").read_line() != "UP other"
     ):
         pass
-    new = ready(program.upgrade(known={"seq": 41, "whole": True, "hosts": []}))
+    new = wait_until_ready(program.upgrade(known={"seq": 41, "whole": True, "hosts": []}))
     assert {program.open_request(f"{key:x}").read_line() for key in range(8)} == {"UP other"}
     assert program.connect("OPEN 9b1f03aa5c7e0001 7f c=feed,t=acme,d=900").read_line() == "ERR"
     assert "from=101" in program.discovery.requests.get(timeout=15)[0]
-    leave(program)
+    stop_gracefully(program)
     assert json.loads(new.config_path.read_text())["known"]["hosts"] == []
 
 
@@ -302,11 +306,11 @@
 from twisted.internet import tcp
 tcp.Port._reusePort = property(lambda self: False, lambda self, value: None)
 """
-    program = first(start_program, StandInServer(), patch=patch)
+    program = start_first_process(start_program, StandInServer(), patch=patch)
     assert program.open_request().read_line() == "UP r1"
     new = program.upgrade()
-    leave(program)
-    ready(new)
+    stop_gracefully(program)
+    wait_until_ready(new)
     assert program.open_request().read_line() == "UP r1"
 
 
@@ -314,10 +318,14 @@
     start_program: StartProgram,
 ) -> None:
     server = StandInServer()
-    both = settings(feed=PATIENT, old=PATIENT)
+    both = settings(feed=LONG_DEADLINES, old=LONG_DEADLINES)
     # Counted twice on their way, the descriptors would look crowded, and who has not said all be shown out.
-    few = {"cores": 1.0, "memory_mb": 256, "sockets": 232}
-    program = ready(first(start_program, server, settings=both, limits=few, patch=PATIENT_TOO))
+    few_descriptors = {"cores": 1.0, "memory_mb": 256, "sockets": 232}
+    program = wait_until_ready(
+        start_first_process(
+            start_program, server, settings=both, limits=few_descriptors, patch=LONG_FIRST_LINE_TIMEOUTS
+        )
+    )
     at = ",at=s0"  # half of them stood there before the start
     clients = [
         program.open_request(f"{k:x}", traffic_class="old" if k else "feed", extra_fields=at * (k % 2))
@@ -325,11 +333,11 @@
     ]
     assert {client.read_line() for client in clients} == {"UP r1"}
     there = {first.split(" ")[2]: line for first, line in (server.next_opening() for _ in clients)}
-    talks = there["0"]
+    first_upstream = there["0"]
     clients[0].socket.sendall(b"half a li")
-    talks.socket.sendall(b"and half")
-    waits, pings = program.connect(), program.connect("PING")
-    waits.socket.sendall(b"OPEN 1a 7f c=fe")
+    first_upstream.socket.sendall(b"and half")
+    pending, pings = program.connect(), program.connect("PING")
+    pending.socket.sendall(b"OPEN 1a 7f c=fe")
     assert pings.read_line() == "PONG"
     there["1"].socket.settimeout(1.0)
     with pytest.raises(TimeoutError):  # its client does not read: what is on the way is not written yet
@@ -340,21 +348,21 @@
         "1a7e", deadline_ms=30_000
     )  # its answer is out when the first is told to leave
     late_there = server.next_opening()[1]
-    lacking = settings(feed=PATIENT)  # a service type that stands
-    new = ready(program.upgrade(settings=lacking, patch=PATIENT_TOO))
+    fewer_classes = settings(feed=LONG_DEADLINES)  # a service type that stands
+    new = wait_until_ready(program.upgrade(settings=fewer_classes, patch=LONG_FIRST_LINE_TIMEOUTS))
     program.process.send_signal(signal.SIGTERM)
     program.next_log_line("shutdown: requested")
     clients[0].socket.sendall(b"ne\r\n")
-    talks.socket.sendall(b" a line\r\n")
-    assert (talks.read_line(), clients[0].read_line()) == ("half a line", "and half a line")
+    first_upstream.socket.sendall(b" a line\r\n")
+    assert (first_upstream.read_line(), clients[0].read_line()) == ("half a line", "and half a line")
     late_there.send_line("UP late")
     assert late.read_line() == "UP late"
     late_there.send_line("M 2")
     assert late.read_line() == "M 2"
     assert "upgrade: 43 connections handed off" in program.remaining_log() and program.process.returncode == 0
     server.answer = "UP again"
-    waits.socket.sendall(b"ed,t=acme,d=30000\r\n")
-    assert waits.read_line() == "UP again"
+    pending.socket.sendall(b"ed,t=acme,d=30000\r\n")
+    assert pending.read_line() == "UP again"
     pings.send_line("PING")
     assert pings.read_line() == "PONG"
     for _ in range(100):
@@ -366,8 +374,8 @@
     there["2"].close()
     clients[3].close(reset=True)
     assert (clients[2].read_line(), clients[2].read_line(), there["3"].read_line()) == ("BYE", "", "reset")
-    said = new.stop()
-    assert "end bye" in said and "end reset" in said and "fault" not in said and "handed off" not in said
+    log = new.stop()
+    assert "end bye" in log and "end reset" in log and "fault" not in log and "handed off" not in log
     assert clients[0].read_line() == "MOVE"
 
 
@@ -375,19 +383,19 @@
     start_program: StartProgram,
 ) -> None:
     server = StandInServer()
-    program = ready(first(start_program, server))
+    program = wait_until_ready(start_first_process(start_program, server))
     client = program.open_request()
     assert client.read_line() == "UP r1"
     assert send_command(program, "/-/servers/s0/disable") == 200
-    new = ready(program.upgrade())
-    leave(program)
+    new = wait_until_ready(program.upgrade())
+    stop_gracefully(program)
     assert client.read_line() == "MOVE"
     assert send_command(new, "/-/servers/s0/enable") == 200
     client = program.open_request()
     assert client.read_line() == "UP r1"
     assert send_command(new, "/-/drain") == 200
-    newer = ready(new.upgrade())
-    leave(new)
+    newer = wait_until_ready(new.upgrade())
+    stop_gracefully(new)
     assert client.read_line() == "MOVE" and program.connect("PING").read_line() == "NO"
     assert send_command(newer, "/-/resume") == 200 and program.connect("PING").read_line() == "PONG"
 
@@ -396,7 +404,7 @@
     start_program: StartProgram,
 ) -> None:
     server = StandInServer()
-    program = ready(first(start_program, server))
+    program = wait_until_ready(start_first_process(start_program, server))
     clients = [program.open_request(f"{key:x}") for key in range(40)]
     assert {client.read_line() for client in clients} == {"UP r1"}
     patch = """
@@ -406,7 +414,7 @@
     os.kill(os.getpid(), signal.SIGKILL)
 ConnectionTransfer.adopt = killed
 """
-    ready(program.upgrade(patch=patch))
+    wait_until_ready(program.upgrade(patch=patch))
     assert "end moved" in program.stop()
-    heard = [client.read_line() for client in clients]
-    assert heard.count("MOVE") >= 20 and set(heard) <= {"MOVE", "", "reset"}
+    answers = [client.read_line() for client in clients]
+    assert answers.count("MOVE") >= 20 and set(answers) <= {"MOVE", "", "reset"}
