--- a/tests/test_golden_forms.py
+++ b/tests/test_golden_forms.py
@@ -1,6 +1,6 @@
-"""Forms that other processes read: written as before to the byte, and old ones read value by value.
+"""Formats that other processes read: encoded to the same bytes as before, and decoded to the same values.
 
-The files in `tests/golden` were written by release 0b808a3. They change only with a form on purpose.
+Release 0b808a3 wrote the files in `tests/golden`. They change only if a format is changed on purpose.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class FixedClock:
-    """Stands for the clock of a process: its time does not pass, its timers never fire."""
+    """A clock whose time stands still and whose timers never fire."""
 
     def __init__(self) -> None:
         self.epoch_offset = 0.0
@@ -80,7 +80,7 @@
     return proxy, discovery
 
 
-# What a process hands to the next one.
+# State and messages between two processes of a proxy.
 
 
 def test_handed_off_state_is_read_value_by_value_and_written_as_before() -> None:
@@ -175,7 +175,7 @@
     assert path.read_text() == stored
 
 
-# Datagrams between processes.
+# Datagrams between proxies and between members of the fleet.
 
 
 def make_messenger(sent: list[str], received: list[Any]) -> PeerMessenger:
@@ -200,7 +200,7 @@
 
 
 def server_ids(value: Any) -> Any:
-    """A server by its id, also as a key."""
+    """Returns a server, or the keys of a dictionary of servers, as ids; other values unchanged."""
     if isinstance(value, Server):
         return value.id
     return {key.id: count for key, count in value.items()} if isinstance(value, dict) else value
@@ -254,7 +254,7 @@
     assert [messages.decode(bytes.fromhex(data)) for data in stored] == MESSAGES
 
 
-# What operators read.
+# Metrics and answers that operators read.
 
 
 def test_the_metrics_page_keeps_its_names() -> None:
--- a/tests/test_handoff_state.py
+++ b/tests/test_handoff_state.py
@@ -1,4 +1,4 @@
-"""What one process leaves to the next, as plain values, and how the next one takes it over."""
+"""Encoding, decoding and restoring of the state that a process hands to its successor."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def make_proxy() -> tuple[Proxy, Discovery]:
-    """Returns a proxy and its discovery; nothing of them runs."""
+    """Returns a proxy and its discovery; neither opens a connection."""
     clock = Clock()
     proxy = Proxy(
         clock, LogWriter(clock.now), DECODED_SETTINGS, 1, 256, lambda *_: pytest.fail("no probe here")
@@ -41,7 +41,7 @@
 
 
 def make_state() -> dict[str, Any]:
-    """Returns what a process leaves, read back from JSON."""
+    """Returns the encoded state of a process, after a round trip through JSON."""
     proxy, discovery = make_proxy()
     hosts = {"s0": "10.0.0.1:80", "s1": ("10.0.0.2:80", "draining"), "s2": "10.0.0.3:80"}
     discovery.apply_initial_list(endpoint_list(41, True, **hosts))
@@ -84,9 +84,9 @@
     record_connections_elsewhere(proxy, "the other", {"s0": 3}, {"s0": 2})
     sent = slow_start_server.slow_start_sent
     record_connections_elsewhere(proxy, "the other", {"s0": 1}, {})
-    # Sessions that are handed off are not sent anew.
+    # Sessions that are handed off do not count as new attempts.
     assert slow_start_server.connections_elsewhere == 1 and slow_start_server.slow_start_sent == sent >= 2
-    # What the other process holds is in the aggregate, and counts once.
+    # Connections of the other process are part of the aggregate, and must count only once.
     proxy.balancer.load_report_received(200.0, 3, [(slow_start_server, 9)], True, True)
     record_connections_elsewhere(proxy, "the other", {"s0": 2}, {})
     assert slow_start_server.connections_elsewhere == 10
@@ -105,7 +105,7 @@
 def test_wall_clock_step_does_not_shift_restored_times() -> None:
     state = make_state()
     proxy, discovery = make_proxy()
-    proxy.clock.epoch_offset -= 3600.0  # the next process has read a wall clock that was set back by an hour
+    proxy.clock.epoch_offset -= 3600.0  # the wall clock was set back by an hour before the successor started
     HandoffState.decode(state).restore(proxy, discovery)
     assert proxy.clock.epoch_offset == state["clock"]
     assert proxy.balancer.servers["s1"].unready_since == 77.0
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""What one process of a proxy reports to the other while both live."""
+"""Reports between two processes of a proxy while both run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RecordingChannel:
-    """Stands for the channel to the process after this one; keeps what it was sent."""
+    """A channel to the successor that records the messages sent over it."""
 
     def __init__(self) -> None:
         self.to_successor = True
@@ -38,5 +38,5 @@
         for _ in range(attempts):
             siblings.attempt_started(server)
         holdings.report()
-    # The first reports the id; the last but one that nothing more was sent; the last has nothing to report.
+    # The first report has the request id, the last says that there were no more attempts; then none is due.
     assert [message["sent"] for message in channel.messages] == [{}, {"s0": 1}, {"s0": 1}, {}]
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""SIGHUP and SIGTERM that cross the start or the end of a process."""
+"""SIGHUP and SIGTERM that arrive during the start or the exit of a process."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def restart_with(program: Program, code: str) -> None:
-    """The same program started anew, as the platform does, with code ahead of it."""
+    """Kills the program and starts it again with the same configuration; `code` runs first in the process."""
     program.process.kill()
     program.process.wait()
     program.process, program.log_lines = (
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("name", ["SIGHUP", "SIGTERM"])
 def test_signal_at_interpreter_exit_keeps_the_exit_code(start_program: StartProgram, name: str) -> None:
-    pause = threading.Event()  # as fast as it can be, Python's own handlers would nest too deep
+    pause = threading.Event()  # sent without a pause, signals would nest Python's own handlers too deep
     for _ in range(5):
         program = start_program(endpoint_list(41, True, s0=StandInServer().address))
         assert program.open_request().read_line() == "UP r1"
--- a/tests/test_start_errors.py
+++ b/tests/test_start_errors.py
@@ -1,4 +1,4 @@
-"""Configurations and addresses that a proxy cannot start with."""
+"""Invalid configurations and addresses in use: the start fails and names the key."""
 
 from __future__ import annotations
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A second process beside the first: what an upgrade may not cost, whatever becomes of either."""
+"""Upgrades: no client and no state is lost while a new process takes over, whichever process fails."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.waiting import TEST_TIMEOUT
 
 StartProgram = Callable[..., Program]
-# However busy the machine is, no answer is late, and no server looks strained or silent for it.
+# Long enough that a busy machine causes no late answer, and no server seems overloaded or unresponsive.
 LONG_DEADLINES = {"setup_target_us": 10_000_000, "deadline_us": 30_000_000}
 LONG_FIRST_LINE_TIMEOUTS = overrides(
     {
@@ -29,28 +29,29 @@
 )
 
 
-def start_first_process(start_program: StartProgram, *servers: StandInServer, **changes: Any) -> Program:
+def first(start_program: StartProgram, *servers: StandInServer, **changes: Any) -> Program:
+    """Starts the first process of a proxy that accepts operator commands."""
     return start_operable_program(
         start_program, *servers, **{"settings": settings(feed=LONG_DEADLINES), **changes}
     )
 
 
 def wait_until_ready(program: Program) -> Program:
-    """The process, once it says that it is ready."""
+    """Waits until the process reports ready, and returns it."""
     while send_command(program, "/-/ready", "GET") != 200:
         pass
     return program
 
 
 def stop_gracefully(program: Program) -> str:
-    """It is told to leave, and leaves with 0; what it logged."""
+    """Stops the process with SIGTERM, checks its exit code 0 and returns its log."""
     log = program.stop()
     assert program.process.returncode == 0, log
     return log
 
 
 class TalkingClient(threading.Thread):
-    """Connects, talks a little, ends, and so on; and one that is moved comes again."""
+    """Opens sessions one after another and exchanges messages; reconnects after MOVE."""
 
     def __init__(self, program: Program, key: str) -> None:
         super().__init__(daemon=True)
@@ -66,9 +67,9 @@
                 answer = client.read_line()
                 if answer != "M 1":
                     break
-                time.sleep(0.01)  # as a client does; and nobody reads the log meanwhile
+                time.sleep(0.01)  # paces the messages: the log of the process is not read meanwhile
             self.answers[answer] = self.answers.get(answer, 0) + 1
-            # Both, or the old connection outlives the next one's opening, and a key never leaves its server.
+            # Closes both: a connection still open when the next one opens would keep the key at its server.
             client.file.close()
             client.socket.close()
 
@@ -88,7 +89,7 @@
     start_program: StartProgram,
 ) -> None:
     server_0, server_1 = Echo("UP one"), Echo("UP other")
-    program = start_first_process(start_program, server_0, server_1)
+    program = first(start_program, server_0, server_1)
     wait_until_ready(program)
     clients = [TalkingClient(program, f"{key:x}") for key in range(6)]
     for client_thread in clients:
@@ -108,12 +109,12 @@
     until = time.monotonic() + TEST_TIMEOUT
     while server_0.opening_count == openings_while_out:
         assert time.monotonic() < until
-        time.sleep(0.01)  # or this thread keeps the others from their work
+        time.sleep(0.01)  # lets the client threads run
     for client_thread in clients:
         client_thread.running = False
     for client_thread in clients:
         client_thread.join()
-    # Who stands at the server that is called out is moved, if it talks for that long on a busy machine.
+    # On a busy machine, sessions may still be at the server when it is taken out; those are migrated.
     assert set().union(*(client_thread.answers for client_thread in clients)) - {"MOVE"} == {"M 1"}
     assert "upgrade: taken over\n" in old.stop()
 
@@ -121,7 +122,7 @@
 @pytest.mark.parametrize("at", ["old", "new"])
 def test_operator_command_at_either_process_binds_both(start_program: StartProgram, at: str) -> None:
     server_0, server_1 = StandInServer("UP one"), StandInServer("UP other")
-    program = start_first_process(start_program, server_0, server_1)
+    program = first(start_program, server_0, server_1)
     old = wait_until_ready(program)
     new = wait_until_ready(old.upgrade())
     called = old if at == "old" else new
@@ -137,7 +138,7 @@
 
 
 def test_old_process_accepts_again_if_the_new_one_dies(start_program: StartProgram) -> None:
-    program = start_first_process(start_program, StandInServer())
+    program = first(start_program, StandInServer())
     established = program.open_request()
     assert established.read_line() == "UP r1"
     for signal_number in (signal.SIGKILL, signal.SIGTERM):
@@ -152,7 +153,7 @@
 
 def test_killed_old_process_costs_only_its_own_connections(start_program: StartProgram) -> None:
     server_0, server_1 = StandInServer("UP one"), StandInServer("UP other")
-    program = start_first_process(start_program, server_0, server_1)
+    program = first(start_program, server_0, server_1)
     wait_until_ready(program)
     lost = program.open_request()
     server_name, other_id = ("UP one", "s1") if lost.read_line() == "UP one" else ("UP other", "s0")
@@ -172,7 +173,7 @@
     start_program: StartProgram,
 ) -> None:
     server_0, server_1 = StandInServer("UP one"), StandInServer("UP other")
-    program = wait_until_ready(start_first_process(start_program, server_0, server_1))
+    program = wait_until_ready(first(start_program, server_0, server_1))
     assert send_command(program, "/-/servers/s1/disable") == 200
     program.process.send_signal(signal.SIGSTOP)
     new = wait_until_ready(program.upgrade())
@@ -186,7 +187,7 @@
 def test_leftover_or_broken_files_never_prevent_a_start(
     start_program: StartProgram, tmp_path: Path, leftover: str
 ) -> None:
-    program = start_first_process(start_program, StandInServer())
+    program = first(start_program, StandInServer())
     wait_until_ready(program)
     program.process.kill()
     program.process.wait()
@@ -231,7 +232,7 @@
     start_program: StartProgram, answer: bytes, then: str
 ) -> None:
     server = StandInServer()
-    program = start_first_process(start_program, server, patch=ANSWER_PATCH.format(answer=answer, then=then))
+    program = first(start_program, server, patch=ANSWER_PATCH.format(answer=answer, then=then))
     wait_until_ready(program)
     new = wait_until_ready(program.upgrade())
     assert "upgrade: " in new.next_log_line("upgrade: ")
@@ -252,7 +253,7 @@
 handoff.Handoff.respond_to_takeover = respond_and_report
 """
     program = wait_until_ready(
-        start_first_process(start_program, StandInServer("UP one"), StandInServer("UP other"), patch=patch)
+        first(start_program, StandInServer("UP one"), StandInServer("UP other"), patch=patch)
     )
     new = wait_until_ready(program.upgrade())
     assert {program.open_request(f"{key:x}").read_line() for key in range(8)} == {"UP other"}
@@ -270,7 +271,7 @@
     self.proxy.log(f"the first holds {report.connections}")
 Holdings.report_received = logged
 """
-    program = wait_until_ready(start_first_process(start_program, StandInServer()))
+    program = wait_until_ready(first(start_program, StandInServer()))
     clients = [program.open_request(f"{key:x}") for key in range(12)]
     assert {client.read_line() for client in clients} == {"UP r1"}
     new = wait_until_ready(program.upgrade(patch=patch))
@@ -282,7 +283,7 @@
     start_program: StartProgram,
 ) -> None:
     server_0, server_1 = StandInServer("UP one"), StandInServer("UP other")
-    program = start_first_process(start_program, server_0, server_1)
+    program = first(start_program, server_0, server_1)
     clients = [program.open_request(f"{key:x}") for key in range(8)]
     assert {client.read_line() for client in clients} == {"UP one", "UP other"}
     program.send_endpoints(s0=(server_0.address, "draining"), s1=server_1.address)
@@ -306,7 +307,7 @@
 from twisted.internet import tcp
 tcp.Port._reusePort = property(lambda self: False, lambda self, value: None)
 """
-    program = start_first_process(start_program, StandInServer(), patch=patch)
+    program = first(start_program, StandInServer(), patch=patch)
     assert program.open_request().read_line() == "UP r1"
     new = program.upgrade()
     stop_gracefully(program)
@@ -319,14 +320,12 @@
 ) -> None:
     server = StandInServer()
     both = settings(feed=LONG_DEADLINES, old=LONG_DEADLINES)
-    # Counted twice on their way, the descriptors would look crowded, and who has not said all be shown out.
+    # If descriptors in transit counted twice, they would exceed the limit, and pending clients be evicted.
     few_descriptors = {"cores": 1.0, "memory_mb": 256, "sockets": 232}
     program = wait_until_ready(
-        start_first_process(
-            start_program, server, settings=both, limits=few_descriptors, patch=LONG_FIRST_LINE_TIMEOUTS
-        )
+        first(start_program, server, settings=both, limits=few_descriptors, patch=LONG_FIRST_LINE_TIMEOUTS)
     )
-    at = ",at=s0"  # half of them stood there before the start
+    at = ",at=s0"  # half of the sessions are resumed ones
     clients = [
         program.open_request(f"{k:x}", traffic_class="old" if k else "feed", extra_fields=at * (k % 2))
         for k in range(40)
@@ -340,15 +339,15 @@
     pending.socket.sendall(b"OPEN 1a 7f c=fe")
     assert pings.read_line() == "PONG"
     there["1"].socket.settimeout(1.0)
-    with pytest.raises(TimeoutError):  # its client does not read: what is on the way is not written yet
+    with pytest.raises(TimeoutError):  # its client does not read, so bytes wait in the proxy's buffers
         while True:
             there["1"].socket.sendall((b"x" * 1000 + b"\r\n") * 100)
     server.answer = None
     late = program.open_request(
         "1a7e", deadline_ms=30_000
-    )  # its answer is out when the first is told to leave
+    )  # not answered yet when the old process is told to stop
     late_there = server.next_opening()[1]
-    fewer_classes = settings(feed=LONG_DEADLINES)  # a service type that stands
+    fewer_classes = settings(feed=LONG_DEADLINES)  # without the service type of established sessions
     new = wait_until_ready(program.upgrade(settings=fewer_classes, patch=LONG_FIRST_LINE_TIMEOUTS))
     program.process.send_signal(signal.SIGTERM)
     program.next_log_line("shutdown: requested")
@@ -383,7 +382,7 @@
     start_program: StartProgram,
 ) -> None:
     server = StandInServer()
-    program = wait_until_ready(start_first_process(start_program, server))
+    program = wait_until_ready(first(start_program, server))
     client = program.open_request()
     assert client.read_line() == "UP r1"
     assert send_command(program, "/-/servers/s0/disable") == 200
@@ -404,7 +403,7 @@
     start_program: StartProgram,
 ) -> None:
     server = StandInServer()
-    program = wait_until_ready(start_first_process(start_program, server))
+    program = wait_until_ready(first(start_program, server))
     clients = [program.open_request(f"{key:x}") for key in range(40)]
     assert {client.read_line() for client in clients} == {"UP r1"}
     patch = """
