--- a/brambleplank/platform/configuration.py
+++ b/brambleplank/platform/configuration.py
@@ -218,16 +218,16 @@
         raise InvalidConfigurationError(
             f"fleet: needs the Python module {error.name}; install requirements-sidecar.txt"
         ) from None
-    reading = DocumentReader.of({"fleet": file["fleet"]})
-    table = reading.decode(shapes.Fleet, file["fleet"], ("fleet",))
-    if not reading.faults:
+    reader = DocumentReader.of({"fleet": file["fleet"]})
+    table = reader.decode(shapes.Fleet, file["fleet"], ("fleet",))
+    if not reader.faults:
         if table.listen or table.members:
             raise InvalidConfigurationError(
                 "fleet.members: the members are those of peers; remove fleet.listen and fleet.members"
             )
-        shapes.judge(reading, table, settings.traffic_classes, settings.tenants, ("fleet",))
-    if reading.faults:
-        fault = min(reading.faults)
+        shapes.judge(reader, table, settings.traffic_classes, settings.tenants, ("fleet",))
+    if reader.faults:
+        fault = min(reader.faults)
         raise InvalidConfigurationError(f"{fault.key}: {fault.wrong}; {fault.instead}")
     folder = os.path.dirname(os.environ.get("ROUTER_CONFIG", ""))
     return shapes.decode_fleet_settings(table, file["settings"]["slot_no"], members, folder)
--- a/brambleplank/platform/handoff.py
+++ b/brambleplank/platform/handoff.py
@@ -70,7 +70,7 @@
         self.discovery = discovery
         self.accept_clients = accept_clients
         self.rotation_file = RotationFile(runtime_file_path(tmp, listen, "words"), proxy.log)
-        self.operators = OperatorRelay(proxy, self.rotation_file)
+        self.operator_relay = OperatorRelay(proxy, self.rotation_file)
         self.holdings = Holdings(proxy)
         self.transfer = ConnectionTransfer(proxy, self.holdings)
         self.listener = SuccessorListener(proxy, runtime_file_path(tmp, listen, "sock"), ChannelFactory(self))
@@ -134,7 +134,7 @@
         elif kind == MessageKind.HOLDINGS and is_open:
             self.holdings.report_received(channel, HoldingsReport.decode(message))
         elif kind == MessageKind.OPERATOR_COMMAND and is_open:
-            self.operators.command_received(channel, OperatorCommandMessage.decode(message))
+            self.operator_relay.command_received(channel, OperatorCommandMessage.decode(message))
         elif kind == MessageKind.SESSION and is_open:
             self.transfer.adopt(channel, SessionMessage.decode(message))
         elif kind == MessageKind.SESSION_ADOPTED and self.transfer.expects_acknowledgement(channel):
@@ -149,17 +149,17 @@
         """
         if any(each.to_successor for each in self.channels):
             raise InvalidConfigurationError("say: another process has already taken over")
-        given = {
+        granted = {
             key: offered.descriptor()
             for key, offered in self.sockets.items()
             if request.addresses.get(key) == address_text(offered.address)
         }
         state = HandoffState.capture(self.proxy, self.discovery).encode()
-        channel.send(TakeoverResponse(STATE_FORMAT, list(given), state), given.values())
+        channel.send(TakeoverResponse(STATE_FORMAT, list(granted), state), granted.values())
         self.channel_opened(channel)
-        if "listen" in given:
+        if "listen" in granted:
             self.accept_clients(False)
-        self.log(f"upgrade: {', '.join(given) or 'no socket'} handed to the next process")
+        self.log(f"upgrade: {', '.join(granted) or 'no socket'} handed to the next process")
 
     def report_holdings(self) -> None:
         """Reports the holdings of this process, now and every `REPORT_INTERVAL`."""
@@ -170,7 +170,7 @@
 
     def relay_command(self, command: CommandKind, server_id: str) -> bool:
         """Relays an operator command that was carried out here; returns whether it outlives this process."""
-        return self.operators.relay(command, server_id, self.channels)
+        return self.operator_relay.relay(command, server_id, self.channels)
 
     def hand_off(self, client: ClientConnection) -> None:
         """Hands a client off to the successor, if there is one."""
--- a/brambleplank/platform/listeners.py
+++ b/brambleplank/platform/listeners.py
@@ -29,20 +29,20 @@
     A process of this proxy that is still shutting down holds the address until it ends, and the machine may
     briefly be out of sockets. Raises Twisted's CannotListenError.
     """
-    until = time.monotonic() + max_wait
+    deadline = time.monotonic() + max_wait
     logged = False
     while True:
         try:
             return listen()
         except (error.CannotListenError, OSError) as failure:
             cause = failure.socketError if isinstance(failure, error.CannotListenError) else failure
-            if cause.errno not in TRANSIENT_ERRORS or time.monotonic() >= until:
+            if cause.errno not in TRANSIENT_ERRORS or time.monotonic() >= deadline:
                 cannot_listen: Any = error.CannotListenError
                 raise cannot_listen(address[0], address[1], cause) from None
             if not logged:
                 in_use = cause.errno == errno.EADDRINUSE
-                why = "is in use" if in_use else f"cannot be opened: {cause.strerror}"
-                log(f"start: {address[0]}:{address[1]} {why}; retrying for a few seconds")
+                reason = "is in use" if in_use else f"cannot be opened: {cause.strerror}"
+                log(f"start: {address[0]}:{address[1]} {reason}; retrying for a few seconds")
             logged = True
         time.sleep(RETRY_INTERVAL)
 
--- a/brambleplank/platform/run.py
+++ b/brambleplank/platform/run.py
@@ -67,15 +67,15 @@
 
             join_fleet(self.proxy, config.fleet, config.seed)
 
-    def limit_descriptors(self, wanted: int) -> None:
+    def limit_descriptors(self, requested: int) -> None:
         """Limits the proxy to the descriptors that this process may open.
 
         A proxy that expected more would run out of descriptors and could accept no client.
         """
-        allowed = raise_descriptor_limit(wanted)
-        if allowed < wanted:
+        allowed = raise_descriptor_limit(requested)
+        if allowed < requested:
             reason = f"RLIMIT_NOFILE lets this process open {allowed} at most"
-            self.proxy.log(f"limits.sockets: {wanted}, but {reason}")
+            self.proxy.log(f"limits.sockets: {requested}, but {reason}")
         self.proxy.admission.set_descriptor_limit(allowed)
 
     def connect_peers(self, peers: PeerConfiguration | None) -> bool:
@@ -127,7 +127,7 @@
         result: TakeoverResult | None = None
         if tmp:
             path = socket_path.runtime_file_path(tmp, listen, "sock")
-            result = takeover.request(path, self.addresses(operators), self.proxy.log)
+            result = takeover.request_takeover(path, self.addresses(operators), self.proxy.log)
             self.handoff = handoff.Handoff(self.proxy, self.discovery, tmp, listen, self.accept_clients)
 
         def adopted_socket(key: str) -> socket.socket | None:
--- a/brambleplank/platform/stored_values.py
+++ b/brambleplank/platform/stored_values.py
@@ -49,9 +49,9 @@
     return decode_number(value[0], key), decode_number(value[1], key)
 
 
-def decode_mapping(value: Any, key: str, kind: Callable[[Any, str], Value]) -> dict[str, Value]:
-    """Returns a JSON object, with each value decoded by `kind`."""
-    return {name: kind(item, f"{key}.{name:.40}") for name, item in decode_object(value, key).items()}
+def decode_mapping(value: Any, key: str, decode_value: Callable[[Any, str], Value]) -> dict[str, Value]:
+    """Returns a JSON object, with each value decoded by `decode_value`."""
+    return {name: decode_value(item, f"{key}.{name:.40}") for name, item in decode_object(value, key).items()}
 
 
 def address_text(address: Address) -> str:
--- a/brambleplank/platform/takeover.py
+++ b/brambleplank/platform/takeover.py
@@ -39,11 +39,13 @@
 
     def close(self) -> None:
         """Closes the channel and the listening sockets that were not taken."""
-        for each in (self.channel, *self.sockets.values()):
-            each.close()
+        for opened in (self.channel, *self.sockets.values()):
+            opened.close()
 
 
-def request(path: str, wanted: dict[str, Address], log: Callable[[str], None]) -> TakeoverResult | None:
+def request_takeover(
+    path: str, requested: dict[str, Address], log: Callable[[str], None]
+) -> TakeoverResult | None:
     """Takes over from the predecessor; returns None if there is none, or if the takeover fails.
 
     Blocks; nothing else runs in this process yet.
@@ -53,9 +55,9 @@
     )
     descriptors: list[int] = []
     try:
-        send_request(channel, path, wanted)
+        send_request(channel, path, requested)
         response, remaining = receive_response(channel, descriptors)
-        sockets = listening_sockets(response, wanted, descriptors)
+        sockets = listening_sockets(response, requested, descriptors)
     except (FileNotFoundError, ConnectionRefusedError):
         channel.close()  # there is no predecessor, or it has ended
         return None
@@ -74,41 +76,41 @@
         channel, sockets, bytes_after_answer=remaining, unassigned_descriptors=descriptors
     )
     try:
-        result.state = state_of(response)
+        result.state = decode_state(response)
     except (InvalidConfigurationError, ValueError, TypeError, RecursionError) as error:
         result.state_error = str(error)
     return result
 
 
-def send_request(channel: socket.socket, path: str, wanted: dict[str, Address]) -> None:
+def send_request(channel: socket.socket, path: str, requested: dict[str, Address]) -> None:
     """Connects to the predecessor and requests the sockets of the given addresses."""
     with ShortSocketPath(path) as short_path:
         channel.settimeout(TIMEOUT)
         channel.connect(short_path)
-    addresses = {key: address_text(address) for key, address in wanted.items()}
+    addresses = {key: address_text(address) for key, address in requested.items()}
     channel.sendall(upgrade_messages.encode(TakeoverRequest(STATE_FORMAT, addresses).encode()))
 
 
 def receive_response(channel: socket.socket, descriptors: list[int]) -> tuple[TakeoverResponse, bytes]:
     """Returns the answer and the bytes after it; appends the received descriptors to the list."""
-    until = time.monotonic() + TIMEOUT
+    deadline = time.monotonic() + TIMEOUT
     received = bytearray()
     # The first report of holdings may arrive in the same read as the answer.
     while b"\n" not in received:
-        channel.settimeout(max(MIN_READ_TIMEOUT, until - time.monotonic()))
-        piece, numbers, _, _ = socket.recv_fds(channel, READ_SIZE, upgrade_messages.MAX_SOCKETS)
-        descriptors += numbers
-        if not piece:
+        channel.settimeout(max(MIN_READ_TIMEOUT, deadline - time.monotonic()))
+        data, new_descriptors, _, _ = socket.recv_fds(channel, READ_SIZE, upgrade_messages.MAX_SOCKETS)
+        descriptors += new_descriptors
+        if not data:
             raise ConnectionError("the previous process closed the connection before its answer was complete")
-        received += piece
-        if len(received) > upgrade_messages.MAX_LINE or time.monotonic() > until:
+        received += data
+        if len(received) > upgrade_messages.MAX_LINE or time.monotonic() > deadline:
             raise TimeoutError("the answer of the previous process is too long, or took too long")
     answer, _, remaining = bytes(received).partition(b"\n")
     return TakeoverResponse.decode(upgrade_messages.decode(answer)), remaining
 
 
 def listening_sockets(
-    response: TakeoverResponse, wanted: dict[str, Address], descriptors: list[int]
+    response: TakeoverResponse, requested: dict[str, Address], descriptors: list[int]
 ) -> dict[str, socket.socket]:
     """Returns the received listening sockets by key, and removes their descriptors from the list.
 
@@ -116,12 +118,12 @@
     """
     found = {}
     for key in response.sockets:
-        if key not in wanted or not descriptors:
+        if key not in requested or not descriptors:
             raise InvalidConfigurationError(
                 f"sockets: {key!r:.40} was not requested, or its descriptor is missing"
             )
         found[key] = socket.socket(fileno=descriptors.pop(0))
-        if found[key].getsockname() != wanted[key]:
+        if found[key].getsockname() != requested[key]:
             raise InvalidConfigurationError(
                 f"sockets: {key} is bound to {found[key].getsockname()}, not to the requested address"
             )
@@ -130,7 +132,7 @@
     return found
 
 
-def state_of(response: TakeoverResponse) -> HandoffState:
+def decode_state(response: TakeoverResponse) -> HandoffState:
     """Decodes the state in an answer. Raises InvalidConfigurationError if it cannot be used."""
     if response.state_format != STATE_FORMAT:
         raise InvalidConfigurationError(
