--- a/brambleplank/platform/stored_values.py
+++ b/brambleplank/platform/stored_values.py
@@ -1,4 +1,4 @@
-"""Checks of stored values as they are read: each raises UnfitError, which names the key of the wrong one."""
+"""Decodes stored values; each function raises InvalidConfigurationError, which names the key, if invalid."""
 
 from __future__ import annotations
 
@@ -11,50 +11,50 @@
 Value = TypeVar("Value")
 
 
-def number(value: Any, key: str, least: float = 0) -> float:
-    """A number of at least so much."""
-    need(value, key, float, least)
+def decode_number(value: Any, key: str, minimum: float = 0) -> float:
+    """Returns a number of at least `minimum`."""
+    need(value, key, float, minimum)
     return float(value)
 
 
-def whole(value: Any, key: str) -> int:
-    """A whole number of -1 or more."""
+def decode_integer(value: Any, key: str) -> int:
+    """Returns an integer of -1 or more."""
     need(value, key, int, -1)
     return int(value)
 
 
-def table(value: Any, key: str) -> dict[str, Any]:
-    """A JSON object."""
+def decode_object(value: Any, key: str) -> dict[str, Any]:
+    """Returns a JSON object."""
     need(value, key, dict)
     return dict(value)
 
 
-def items(value: Any, key: str) -> list[Any]:
-    """A JSON array."""
+def decode_array(value: Any, key: str) -> list[Any]:
+    """Returns a JSON array."""
     need(value, key, list)
     return list(value)
 
 
-def texts(value: Any, key: str) -> list[str]:
-    """A JSON array of strings."""
-    for text in items(value, key):
+def decode_strings(value: Any, key: str) -> list[str]:
+    """Returns a JSON array of strings."""
+    for text in decode_array(value, key):
         need(text, key, str)
     return list(value)
 
 
-def two(value: Any, key: str) -> tuple[float, float]:
-    """A pair of numbers."""
-    if len(items(value, key)) != 2:
+def decode_number_pair(value: Any, key: str) -> tuple[float, float]:
+    """Returns a pair of numbers."""
+    if len(decode_array(value, key)) != 2:
         raise InvalidConfigurationError(f"{key}: need two numbers")
-    return number(value[0], key), number(value[1], key)
+    return decode_number(value[0], key), decode_number(value[1], key)
 
 
-def each(value: Any, key: str, kind: Callable[[Any, str], Value]) -> dict[str, Value]:
-    """A JSON object whose values are all of one kind."""
-    return {name: kind(item, f"{key}.{name:.40}") for name, item in table(value, key).items()}
+def decode_mapping(value: Any, key: str, decode_value: Callable[[Any, str], Value]) -> dict[str, Value]:
+    """Returns a JSON object, with each value decoded by `decode_value`."""
+    return {name: decode_value(item, f"{key}.{name:.40}") for name, item in decode_object(value, key).items()}
 
 
 def address_text(address: Address) -> str:
-    """An address as `host:port`, which `checks.address` reads."""
+    """Returns an address as `host:port`, which `checks.address` decodes."""
     host, port = address
     return f"{host}:{port}"
