--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -8,7 +8,7 @@
 import tempfile
 from pathlib import Path
 
-from tests.soak.run import play
+from tests.soak.run import run_soak
 from tests.soak.simulation import SimulationPlan
 
 
@@ -22,22 +22,24 @@
     parser.add_argument("--rate", type=float, default=120.0, help="requests a second, over all proxies")
     parser.add_argument("--logs", type=Path, help="folder for the proxies' logs")
     parser.add_argument("--most", type=int, default=4, help="breaches shown of each rule")
-    given = parser.parse_args()
-    first, _, last = given.seeds.partition("-")
-    logs = given.logs or Path(tempfile.mkdtemp(prefix="soak-"))
+    arguments = parser.parse_args()
+    first, _, last = arguments.seeds.partition("-")
+    logs = arguments.logs or Path(tempfile.mkdtemp(prefix="soak-"))
     # Without this, SIGTERM would leave the proxies' processes behind.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
-    broken = 0
+    failed_seeds = 0
     for seed in range(int(first), int(last or first) + 1):
         folder = logs / f"seed-{seed}"
-        plan = SimulationPlan(seed, folder, given.proxies, given.servers, given.seconds, given.rate)
-        verdict = play(plan)
-        print(verdict.text(given.most), flush=True)
-        troubles = "\n".join(f"{at:.3f} {text}" for at, text in verdict.records.troubles)
-        (folder / "troubles").write_text(troubles + "\n")
-        broken += bool(verdict.breaches)
-    print(f"{broken} seeds broken; logs in {logs}")
-    return int(broken > 0)
+        plan = SimulationPlan(
+            seed, folder, arguments.proxies, arguments.servers, arguments.seconds, arguments.rate
+        )
+        result = run_soak(plan)
+        print(result.text(arguments.most), flush=True)
+        injected_faults = "\n".join(f"{at:.3f} {text}" for at, text in result.records.injected_faults)
+        (folder / "troubles").write_text(injected_faults + "\n")
+        failed_seeds += bool(result.violations)
+    print(f"{failed_seeds} seeds broken; logs in {logs}")
+    return int(failed_seeds > 0)
 
 
 if __name__ == "__main__":
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -14,17 +14,17 @@
 from tests.soak.proxies import Proxy
 from tests.soak.records import ClientRecord, Misbehaviour, Records
 
-NUMBERS = count(1)
-GROUPS = 40
+REQUEST_NUMBERS = count(1)
+AFFINITY_GROUPS = 40
 SHARE_LEAVING = 0.12  # of clients, that leave before their deadline
 SHARE_IN_PIECES = 0.1  # of openings, that come in two pieces
 SHARE_LONG_SESSIONS = 0.4  # of sessions
 SHORT_SESSION = (0.2, 4.0)  # seconds
 LONG_SESSION = (6.0, 25.0)  # seconds; many last until their proxy is stopped
 CONNECT_TIMEOUT = 2.0  # seconds
-LONGEST_ANSWER = 4.0  # seconds after its deadline for which a client waits
-LONGEST_ECHO = 8.0  # seconds
-END_TIMEOUT = 5.0  # seconds
+ANSWER_TIMEOUT = 4.0  # seconds after its deadline for which a client waits
+ECHO_TIMEOUT = 8.0  # seconds
+CLOSE_TIMEOUT = 5.0  # seconds
 LONG_LINE = 20000  # bytes
 
 
@@ -44,7 +44,7 @@
         self.records = records
         self.rng = rng
         self.misbehaviour = misbehaviour
-        self.request_id = f"{next(NUMBERS):012x}"
+        self.request_id = f"{next(REQUEST_NUMBERS):012x}"
         self.record = ClientRecord(
             self.request_id,
             traffic_class,
@@ -53,7 +53,7 @@
             time_allowed,
             misbehaviour=misbehaviour,
         )
-        self.group = rng.randrange(GROUPS)
+        self.group = rng.randrange(AFFINITY_GROUPS)
         self.leaves_after = 0.0  # seconds; 0: not before its deadline
         if rng.random() < SHARE_LEAVING:
             self.leaves_after = time_allowed * rng.uniform(0.02, 0.9)
@@ -61,7 +61,7 @@
         if rng.random() < SHARE_LONG_SESSIONS:
             self.session_time = rng.uniform(*LONG_SESSION)
 
-    async def play(self) -> ClientRecord:
+    async def run(self) -> ClientRecord:
         """Plays the whole connection and returns its record. Raises OSError or TimeoutError."""
         connecting = asyncio.open_connection(*self.proxy.address)
         reader, writer = await asyncio.wait_for(connecting, CONNECT_TIMEOUT)
@@ -72,10 +72,10 @@
         try:
             if self.misbehaviour is not None and await self.misbehave(reader, writer):
                 return record
-            await self.send_opening(writer)
+            await self.send_open(writer)
             await self.read_answer(reader, writer)
             if record.answers and record.answers[-1][1].startswith("UP"):
-                await self.play_session(reader, writer)
+                await self.run_session(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError, BrokenPipeError):
             record.ended_at = min(record.ended_at, time.monotonic())
             record.was_reset = True
@@ -88,7 +88,7 @@
                 await writer.wait_closed()
         return record
 
-    async def send_opening(self, writer: asyncio.StreamWriter) -> None:
+    async def send_open(self, writer: asyncio.StreamWriter) -> None:
         """Sends the OPEN, some in two pieces."""
         deadline_ms = round(self.record.time_allowed * 1000)
         fields = f"c={self.record.traffic_class},d={deadline_ms},g={self.group:x}"
@@ -104,9 +104,9 @@
     async def read_answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Notes the final answer, or leaves when its time is over."""
         record = self.record
-        patience = self.leaves_after or record.time_allowed + LONGEST_ANSWER
+        timeout = self.leaves_after or record.time_allowed + ANSWER_TIMEOUT
         try:
-            line = await asyncio.wait_for(reader.readline(), patience)
+            line = await asyncio.wait_for(reader.readline(), timeout)
         except TimeoutError:
             record.left_at = time.monotonic()
             if self.rng.random() < 0.5:
@@ -119,12 +119,12 @@
             return
         record.answers.append((time.monotonic(), line.decode(errors="replace").strip()))
         if not line.startswith(b"UP"):
-            rest = await asyncio.wait_for(reader.read(), END_TIMEOUT)
+            rest = await asyncio.wait_for(reader.read(), CLOSE_TIMEOUT)
             record.ended_at = time.monotonic()
             if rest:
                 record.answers.append((time.monotonic(), rest.decode(errors="replace")))
 
-    async def play_session(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def run_session(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Exchanges lines with the server until its time is over or the session ends."""
         record = self.record
         until = time.monotonic() + self.session_time
@@ -132,9 +132,9 @@
             sent_at = time.monotonic()
             writer.write(b"M 1\r\n")
             try:
-                line = await asyncio.wait_for(reader.readline(), LONGEST_ECHO)
+                line = await asyncio.wait_for(reader.readline(), ECHO_TIMEOUT)
             except TimeoutError:
-                record.slowest_echo = LONGEST_ECHO
+                record.slowest_echo = ECHO_TIMEOUT
                 return
             if line.strip() in (b"MOVE", b"BYE"):
                 record.was_migrated = line.strip() == b"MOVE"
@@ -156,19 +156,19 @@
         elif self.misbehaviour is Misbehaviour.LONG_LINE:
             writer.write(b"OPEN " + b"x" * LONG_LINE)
         elif self.misbehaviour is Misbehaviour.CLOSE_AT_ONCE:
-            await self.send_opening(writer)
+            await self.send_open(writer)
             self.record.left_at = time.monotonic()
             writer.close()
             return True
         elif self.misbehaviour is Misbehaviour.EARLY_LINE:
-            await self.send_opening(writer)
+            await self.send_open(writer)
             writer.write(b"M 1\r\n")
         elif self.misbehaviour is Misbehaviour.SECOND_OPENING:
-            await self.send_opening(writer)
-            await self.send_opening(writer)
+            await self.send_open(writer)
+            await self.send_open(writer)
         began = time.monotonic()
         with suppress(TimeoutError):
-            await asyncio.wait_for(reader.read(), END_TIMEOUT)
+            await asyncio.wait_for(reader.read(), CLOSE_TIMEOUT)
             self.record.ended_at = time.monotonic()
         self.record.slowest_echo = time.monotonic() - began
         return True
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -15,10 +15,10 @@
 
 from tests.soak.servers import Server
 
-EMPTY_LINE_INTERVAL = 2.0  # seconds
-SILENCE_KNOWN_AFTER = 6.0  # seconds until what a silent watch misses counts as known to its proxy
-PIECE = 97  # bytes
-ANSWER_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+KEEPALIVE_INTERVAL = 2.0  # seconds
+SILENCE_DETECTED_AFTER = 6.0  # seconds until what a silent watch misses counts as known to its proxy
+PIECE_SIZE = 97  # bytes
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 Entry = dict[str, Any]  # of one server, as discovery writes it
 
 
@@ -26,7 +26,7 @@
 class Delivery:
     """From when changes count as known to an agent's proxy, and what became of them at the agent."""
 
-    known_at: float
+    notified_at: float
     text: str
 
 
@@ -42,7 +42,7 @@
 
     def send(self, text: str, in_pieces: bool) -> None:
         """Writes a line as one chunk, at once or in pieces, after all that is not written yet."""
-        data = chunk(text)
+        data = encode_chunk(text)
         if not in_pieces and not self.unsent:
             self.writer.write(data)
             return
@@ -55,8 +55,8 @@
         """Writes all that is not written yet, in small pieces."""
         while self.unsent and not self.writer.is_closing():
             data = self.unsent[0]
-            for at in range(0, len(data), PIECE):
-                self.writer.write(data[at : at + PIECE])
+            for at in range(0, len(data), PIECE_SIZE):
+                self.writer.write(data[at : at + PIECE_SIZE])
                 await asyncio.sleep(0)
             self.unsent.popleft()
         if not self.unsent:
@@ -99,7 +99,7 @@
         """Sets the list that it begins with."""
         self.entries = {entry["host"]: (1, entry) for entry in entries_of(servers)}
 
-    def whole_list(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
         """Returns the list as a proxy's configuration has it, and as a first answer does."""
         return {"seq": self.version, "whole": True, "hosts": [entry for _, entry in self.entries.values()]}
 
@@ -116,23 +116,23 @@
             if self.is_down:
                 await reader.read()
                 return
-            writer.write(ANSWER_HEAD)
+            writer.write(RESPONSE_HEAD)
             since = re.search(r"from=(\d+)", head)
-            answer = self.changes_since(int(since[1])) if since else self.whole_list()
+            answer = self.changes_since(int(since[1])) if since else self.full_list()
             self.watches.add(watch)
             self.unwatched_since = inf
             watch.send(json.dumps(answer, indent=1 if self.sends_pieces else None), self.sends_pieces)
             # A proxy sends nothing more on a watch, but its end: also that of a watch that has fallen silent.
-            while not await is_ended(reader, EMPTY_LINE_INTERVAL):
+            while not await wait_for_eof(reader, KEEPALIVE_INTERVAL):
                 if watch.silent_since == inf and not self.is_down:
                     watch.send("", self.sends_pieces)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
-            self.watch_ended(watch)
+            self.remove_watch(watch)
             writer.close()
 
-    def watch_ended(self, watch: Watch) -> None:
+    def remove_watch(self, watch: Watch) -> None:
         """A watch is open no longer; what was not written whole has reached nobody."""
         if watch in self.watches:
             self.watches.remove(watch)
@@ -140,7 +140,7 @@
                 self.unwatched_since = min(self.unwatched_since, time.monotonic(), watch.unsent_since)
 
     @property
-    def unreached_since(self) -> float:
+    def undelivered_since(self) -> float:
         """From when on changes may not have reached its proxy; infinite if all of them have."""
         return min(self.unwatched_since, *(watch.unsent_since for watch in self.watches), inf)
 
@@ -165,8 +165,8 @@
         if live or not self.watches:
             return Delivery(now, text)
         silent_since = max(watch.silent_since for watch in self.watches)
-        known_at = max(now, silent_since + SILENCE_KNOWN_AFTER)
-        return Delivery(known_at, f"{text}, silent since {silent_since:.3f}")
+        notified_at = max(now, silent_since + SILENCE_DETECTED_AFTER)
+        return Delivery(notified_at, f"{text}, silent since {silent_since:.3f}")
 
     def silence_watches(self) -> None:
         """All open watches fall silent, and stay open."""
@@ -178,14 +178,14 @@
         """All open watches break; none is open from this instant on."""
         for watch in list(self.watches):
             watch.writer.transport.abort()
-            self.watch_ended(watch)
+            self.remove_watch(watch)
 
-    def go_down(self, seconds: float) -> None:
+    def begin_outage(self, seconds: float) -> None:
         """Answers nobody for so many seconds, until one `come_back` for each call."""
         self.outages += 1
         self.down_until = max(self.down_until, time.monotonic() + seconds)
 
-    def come_back(self) -> list[Entry]:
+    def end_outage(self) -> list[Entry]:
         """Serves again, unless another outage lasts; returns the changes that it had missed.
 
         All its watches are broken then.
@@ -201,14 +201,14 @@
         return missed
 
 
-async def is_ended(reader: asyncio.StreamReader, within: float) -> bool:
+async def wait_for_eof(reader: asyncio.StreamReader, within: float) -> bool:
     """Waits for the other side's end for so many seconds; whether it came."""
     with suppress(TimeoutError):
         return not await asyncio.wait_for(reader.read(1), within)
     return False
 
 
-def chunk(text: str) -> bytes:
+def encode_chunk(text: str) -> bytes:
     """Returns a line as one chunk of an HTTP answer."""
     return b"%x\r\n%b\n\r\n" % (len(text) + 1, text.encode())
 
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -14,14 +14,14 @@
 
 SLACK = 0.05  # seconds that each time limit is longer on sockets
 LOST_AFTER = 0.5  # seconds after its time from which an answer counts as lost
-LEFT_WITHIN = 0.1  # seconds after a client has left in which an attempt may begin
-END_PASSED_WITHIN = 1.0  # seconds from a server's end of a session to the client's
+ATTEMPT_AFTER_LEAVING_WITHIN = 0.1  # seconds after a client has left in which an attempt may begin
+END_FORWARDED_WITHIN = 1.0  # seconds from a server's end of a session to the client's
 RESET_AFTER = 0.2  # seconds until a process that was told so lets its reads succeed again
 KILL_SEEN_WITHIN = 0.1  # seconds after a kill in which clients see its connections end
 # Seconds; a watch may break just before discovery becomes unreachable, and is opened anew after it.
 UNREACHABLE_BEFORE = 1.0
 UNREACHABLE_AFTER = 0.5
-MOST_OVERLAP = 1.0  # seconds after the next attempt in which this process may have been late
+OVERLAP_LAG_WINDOW = 1.0  # seconds after the next attempt in which this process may have been late
 NOTIFIED_SHARE = 2 / 3  # of the attempts that push a server over, from which on the rule is broken
 MICRO = 1e6
 FAULT_LINE = re.compile(r"fault |Traceback|violation of|; keep the log")
@@ -29,14 +29,14 @@
 
 
 @dataclass(frozen=True)
-class Breach:
+class Violation:
     """One rule that was broken, and by what."""
 
     rule: str
     details: str
 
 
-class Judge:
+class RecordChecker:
     """Judges one run. `settings` as the proxies were given them, `rate` of all requests a second."""
 
     def __init__(self, records: Records, settings: dict[str, Any], rate: float, servers: int) -> None:
@@ -49,10 +49,10 @@
         for attempt in records.attempts:
             self.attempts[attempt.request_id].append(attempt)
         self.clients = {client.request_id: client for client in records.clients}
-        self.processes = numbered(records.processes)
-        self.breaches: list[Breach] = []
+        self.processes = index_processes(records.processes)
+        self.violations: list[Violation] = []
 
-    def judge(self) -> list[Breach]:
+    def check_all(self) -> list[Violation]:
         """Returns every breach of a rule."""
         for client in self.records.clients:
             self.check_answer(client)
@@ -64,15 +64,15 @@
         self.check_slow_start()
         for process in self.records.processes:
             self.check_process(process)
-        return self.breaches
+        return self.violations
 
     def report(self, rule: str, details: str) -> None:
         """Notes a breach."""
-        self.breaches.append(Breach(rule, details))
+        self.violations.append(Violation(rule, details))
 
     # What is allowed for: the machine was late, or a fault that was played.
 
-    def own_lag(self, begin: float, end: float) -> float:
+    def checker_lag(self, begin: float, end: float) -> float:
         """Returns by how many seconds this process was late itself in that time."""
         return sum(late for at, late in self.records.lags if begin - late <= at <= end)
 
@@ -108,30 +108,30 @@
         process = self.process_of(client)
         if client.sent_at == inf or client.misbehaviour is not None:
             return
-        due = client.sent_at + client.time_allowed
-        if self.was_killed(client, min(due + LOST_AFTER, client.ended_at + KILL_SEEN_WITHIN)):
+        deadline = client.sent_at + client.time_allowed
+        if self.was_killed(client, min(deadline + LOST_AFTER, client.ended_at + KILL_SEEN_WITHIN)):
             return
         if len(client.answers) > 1:
             self.report("one answer", f"{client.request_id} had {client.answers}")
         if client.answers:
-            self.check_answer_time(client, process, due)
+            self.check_answer_time(client, process, deadline)
         elif client.left_at < inf:
-            self.check_patience(client, process, due)
+            self.check_left_without_answer(client, process, deadline)
         else:
             self.check_end_without_answer(client, process)
 
-    def check_answer_time(self, client: ClientRecord, process: ProcessRun, due: float) -> None:
+    def check_answer_time(self, client: ClientRecord, process: ProcessRun, deadline: float) -> None:
         """An answer that came is not too late."""
         at = client.answers[0][0]
-        allowance = SLACK + self.own_lag(client.sent_at, at)
-        late = at - due - allowance - self.time_suspended(process, client.sent_at, at)
+        allowance = SLACK + self.checker_lag(client.sent_at, at)
+        late = at - deadline - allowance - self.time_suspended(process, client.sent_at, at)
         if late > LOST_AFTER:
             details = f"{client.request_id} {client.traffic_class} {late:.3f} s too late"
             self.report("answer in time", details)
 
-    def check_patience(self, client: ClientRecord, process: ProcessRun, due: float) -> None:
+    def check_left_without_answer(self, client: ClientRecord, process: ProcessRun, deadline: float) -> None:
         """A client that left without an answer did so before it was due."""
-        late = client.left_at - due - LOST_AFTER - self.own_lag(client.sent_at, client.left_at)
+        late = client.left_at - deadline - LOST_AFTER - self.checker_lag(client.sent_at, client.left_at)
         if late > self.time_suspended(process, client.sent_at, client.left_at) + SLACK:
             details = f"{client.request_id} {client.traffic_class} had none, at n{client.proxy}"
             self.report("answer", details)
@@ -153,7 +153,9 @@
         attempts = self.attempts[client.request_id]
         for earlier, later in pairwise(attempts):
             # Late itself, this process sees the end of the earlier one late, after the next one has come.
-            lag = self.own_lag(earlier.received_at, min(earlier.ended_at, later.received_at + MOST_OVERLAP))
+            lag = self.checker_lag(
+                earlier.received_at, min(earlier.ended_at, later.received_at + OVERLAP_LAG_WINDOW)
+            )
             if earlier.ended_at > later.received_at + SLACK + lag:
                 overlap = earlier.ended_at - later.received_at
                 details = f"{earlier.server} until {overlap:.3f} s after {later.server}"
@@ -183,7 +185,7 @@
         for later in attempts:
             if later.received_at <= first.received_at:
                 continue
-            lag = self.own_lag(first.received_at, later.received_at)
+            lag = self.checker_lag(first.received_at, later.received_at)
             window = traffic_class["window_us"] / MICRO
             if later.received_at > first.received_at + window + SLACK + lag:
                 after = later.received_at - first.received_at
@@ -209,8 +211,8 @@
         if client.was_cut_off and not ended_by_server and not was_reset:
             self.report("cut off without MOVE", f"{client.request_id} at n{client.proxy}")
         ended = self.records.sessions_ended_by_server.get(client.request_id, inf)
-        lag = self.own_lag(ended, min(client.ended_at, ended + 8.0))
-        late = client.ended_at - ended - END_PASSED_WITHIN - SLACK - lag
+        lag = self.checker_lag(ended, min(client.ended_at, ended + 8.0))
+        late = client.ended_at - ended - END_FORWARDED_WITHIN - SLACK - lag
         if late > 0 and client.left_at > ended + 1.5:
             self.report("end not passed on", f"{client.request_id} {client.ended_at - ended:.3f} s")
 
@@ -225,8 +227,8 @@
         for change in self.records.notifications:
             is_unready = not change.is_ready and change.server == attempt.server
             if is_unready and change.proxy == client.proxy:
-                since = self.counts_as_notified_at(self.process_of(client), change.notified_at)
-                late = attempt.began_at - since - grace - SLACK - self.own_lag(since, attempt.began_at)
+                since = self.effective_notification_time(self.process_of(client), change.notified_at)
+                late = attempt.began_at - since - grace - SLACK - self.checker_lag(since, attempt.began_at)
                 if late > 0:
                     self.report("drain", self.drain_details(attempt, change, since, late))
 
@@ -245,7 +247,7 @@
         return "\n        ".join(parts)
 
     @staticmethod
-    def counts_as_notified_at(process: ProcessRun, at: float) -> float:
+    def effective_notification_time(process: ProcessRun, at: float) -> float:
         """Returns from when a change counts as known: without any socket discovery cannot be called."""
         for since, until in process.unreachable_spans:
             if since - UNREACHABLE_BEFORE <= at <= until:
@@ -258,8 +260,8 @@
         if client is None or client.left_at == inf:
             return
         process = self.process_of(client)
-        late = attempt.received_at - client.left_at - LEFT_WITHIN - SLACK
-        late -= self.own_lag(client.left_at, attempt.received_at)
+        late = attempt.received_at - client.left_at - ATTEMPT_AFTER_LEAVING_WITHIN - SLACK
+        late -= self.checker_lag(client.left_at, attempt.received_at)
         if late > self.time_suspended(process, client.left_at, attempt.received_at):
             details = f"{attempt.request_id} begun {late:.3f} s too late at {attempt.server}"
             self.report("client left", details)
@@ -328,8 +330,8 @@
             self.report("crash", f"{name}: exit {process.exit_code}: {log[-300:]}")
         if process.ended_at < process.stop_requested_at and process.killed_at == inf:
             self.report("crash", f"{name}: ended by itself")
-        if process.most_descriptors > process.descriptor_limit + EXTRA_DESCRIPTORS:
-            details = f"{name}: {process.most_descriptors} of {process.descriptor_limit}"
+        if process.peak_descriptors > process.descriptor_limit + EXTRA_DESCRIPTORS:
+            details = f"{name}: {process.peak_descriptors} of {process.descriptor_limit}"
             self.report("descriptors", details)
 
 
@@ -339,7 +341,7 @@
     return [line for line in log.splitlines() if any(text in line for text in texts)]
 
 
-def numbered(processes: list[ProcessRun]) -> dict[tuple[int, int], ProcessRun]:
+def index_processes(processes: list[ProcessRun]) -> dict[tuple[int, int], ProcessRun]:
     """Returns each process by its proxy and how many of that proxy were started before it."""
     found: dict[tuple[int, int], ProcessRun] = {}
     for process in processes:
--- a/tests/soak/proxies.py
+++ b/tests/soak/proxies.py
@@ -19,11 +19,11 @@
 from tests.soak.records import ProcessRun, Records, Span
 
 # Each line of a log begins with the time of the records, whatever the wall clock says.
-MONOTONIC_LOG = override(
+MONOTONIC_LOG_PATCH = override(
     "brambleplank.net.log:LogWriter.print_line",
     "staticmethod(lambda line: print(f'{time.monotonic():.3f} {line}', file=sys.stderr, flush=True))",
 )
-CODE = "{patch}\nimport runpy\nrunpy.run_module('brambleplank', run_name='__main__')"
+BOOTSTRAP_CODE = "{patch}\nimport runpy\nrunpy.run_module('brambleplank', run_name='__main__')"
 # As `run` in the deploy file: in Python's first instants SIGHUP would end the process.
 SHELL_COMMAND = "trap '' HUP; exec \"$@\""
 ROTATION_DELAY = 0.3  # seconds after SIGTERM in which clients still come
@@ -80,7 +80,7 @@
 
     def start(self) -> None:
         """Starts a process, which becomes the newest."""
-        known = self.agent.whole_list()
+        known = self.agent.full_list()
         self.configure(discovery=self.agent.address, known=known, seed=os.urandom(4).hex())
         self.faults.write(self.fault_plan)
         environment = {name: value for name, value in os.environ.items() if not name.startswith("ROUTER_")}
@@ -90,14 +90,14 @@
         run = ProcessRun(self.number, time.monotonic(), log_path=str(log_path))
         run.descriptor_limit = self.config["limits"]["sockets"]
         with log_path.open("wb") as log:
-            patches = ("import sys, time", MONOTONIC_LOG, self.faults.patch, self.patch)
-            code = CODE.format(patch="\n".join(patches))
+            patches = ("import sys, time", MONOTONIC_LOG_PATCH, self.faults.patch, self.patch)
+            code = BOOTSTRAP_CODE.format(patch="\n".join(patches))
             command = ["/bin/sh", "-c", SHELL_COMMAND, "sh", sys.executable, "-B", "-c", code]
             self.process = subprocess.Popen(
                 command, env=environment, stderr=log, preexec_fn=ignore_plan_signals
             )
         self.runs.append(run)
-        self.note_fault_spans(run.started_at)
+        self.record_fault_spans(run.started_at)
         self.records.processes.append(run)
         self.is_in_rotation = False
         self.leaves_rotation_at = inf
@@ -122,23 +122,23 @@
             self.current_run.killed_at = time.monotonic()
             self.is_in_rotation = False
 
-    def inject_faults(self, **plan: Any) -> None:
+    def apply_fault_plan(self, **plan: Any) -> None:
         """Sets the machine's faults from now on; the process reads them at SIGUSR1."""
         self.fault_plan = plan
         self.faults.write(plan)
         run = self.current_run
         if run.stop_requested_at < inf:
             return  # at its end Python gives SIGUSR1 its default action back: it goes on by the old plan
-        self.note_fault_spans(time.monotonic())
+        self.record_fault_spans(time.monotonic())
         self.send_signal(signal.SIGUSR1)
 
-    def note_fault_spans(self, now: float) -> None:
+    def record_fault_spans(self, now: float) -> None:
         """Notes that the newest process is under the fault plan from now on."""
         failing = self.fault_plan.get("fail", {})
         shares = [share for call, (share, _) in failing.items() if call in ("socket", "connect")]
         run = self.current_run
-        note_span(run.unreachable_spans, now, lasts=1.0 in shares)
-        note_span(run.reset_spans, now, lasts="recv" in failing)
+        update_span(run.unreachable_spans, now, lasts=1.0 in shares)
+        update_span(run.reset_spans, now, lasts="recv" in failing)
 
     def upgrade(self) -> None:
         """Starts the next process beside this one, which goes on until `signal_predecessors`."""
@@ -162,18 +162,18 @@
     def observe(self) -> None:
         """Notes which processes have ended, and how many descriptors the newest holds."""
         for process, run in self.predecessors:
-            note_end(process, run)
+            record_end(process, run)
         if self.process is None or not self.is_running:
             return
-        if note_end(self.process, self.current_run):
+        if record_end(self.process, self.current_run):
             self.is_in_rotation = False
             return
         with suppress(OSError):
             held = len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
-            self.current_run.most_descriptors = max(self.current_run.most_descriptors, held)
+            self.current_run.peak_descriptors = max(self.current_run.peak_descriptors, held)
 
 
-def note_span(spans: list[Span], now: float, lasts: bool) -> None:
+def update_span(spans: list[Span], now: float, lasts: bool) -> None:
     """Begins a span, goes on with the one that lasts, or ends it."""
     is_open = bool(spans) and spans[-1][1] == inf
     if lasts and not is_open:
@@ -182,7 +182,7 @@
         spans[-1] = (spans[-1][0], now)
 
 
-def note_end(process: subprocess.Popen[bytes], run: ProcessRun) -> bool:
+def record_end(process: subprocess.Popen[bytes], run: ProcessRun) -> bool:
     """Notes the end of a process; whether it is seen only now."""
     if run.ended_at < inf:
         return False
--- a/tests/soak/proxy_troubles.py
+++ b/tests/soak/proxy_troubles.py
@@ -16,14 +16,14 @@
 SUSPENSION = (0.02, 0.13)  # seconds
 
 
-class ProxyTroubles:
+class ProxyFaults:
     """What happens to the proxies' processes of a run."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
         self.rng = simulation.rng
 
-    def choose_settled(self) -> Proxy | None:
+    def choose_stable(self) -> Proxy | None:
         """Returns a proxy in rotation; None if the one that was drawn is amid an upgrade or a stop."""
         proxy = self.simulation.choose_proxy()
         if proxy is None or proxy.is_upgrading or proxy.current_run.stop_requested_at < inf:
@@ -32,35 +32,35 @@
 
     async def stop_and_start(self) -> None:
         """A planned stop, then another process."""
-        proxy = self.choose_settled()
+        proxy = self.choose_stable()
         if proxy is None:
             return
-        self.simulation.note_trouble(f"SIGTERM n{proxy.number}")
+        self.simulation.record_fault(f"SIGTERM n{proxy.number}")
         await self.simulation.stop(proxy)
         proxy.start()
-        await self.simulation.wait_ready(proxy)
+        await self.simulation.wait_until_ready(proxy)
 
     async def kill_and_start(self) -> None:
         """A kill, then another process."""
-        proxy = self.choose_settled()
+        proxy = self.choose_stable()
         if proxy is None:
             return
-        self.simulation.note_trouble(f"SIGKILL n{proxy.number}")
+        self.simulation.record_fault(f"SIGKILL n{proxy.number}")
         proxy.kill()
         await self.simulation.wait_for_end(proxy, KILL_SEEN_WITHIN)
         await asyncio.sleep(self.rng.uniform(0.0, 0.5))
         proxy.start()
-        await self.simulation.wait_ready(proxy)
+        await self.simulation.wait_until_ready(proxy)
 
     async def upgrade(self) -> None:
         """The next process starts beside the first, which stops once the next one serves."""
-        proxy = self.choose_settled()
+        proxy = self.choose_stable()
         if proxy is None or "mgmt" not in proxy.config or proxy.current_run.ready_at == inf:
             return
         proxy.is_upgrading = True
-        self.simulation.note_trouble(f"upgrade n{proxy.number}")
+        self.simulation.record_fault(f"upgrade n{proxy.number}")
         proxy.upgrade()
-        await self.simulation.wait_ready(proxy)
+        await self.simulation.wait_until_ready(proxy)
         await asyncio.sleep(self.rng.uniform(0.1, 1.0))
         proxy.signal_predecessors(signal.SIGTERM)
         until = time.monotonic() + self.simulation.kill_after
@@ -73,10 +73,10 @@
     async def suspend(self) -> None:
         """Some processes are not run for up to 0.15 s, again and again."""
         proxies = self.simulation.proxies
-        some = self.rng.sample(proxies, max(1, len(proxies) // 4))
-        self.simulation.note_trouble(f"held up: {names_of(some)}")
+        affected = self.rng.sample(proxies, max(1, len(proxies) // 4))
+        self.simulation.record_fault(f"held up: {proxy_names(affected)}")
         for _ in range(10):
-            for proxy in some:
+            for proxy in affected:
                 await self.suspend_once(proxy)
             await asyncio.sleep(self.rng.uniform(0.0, 0.1))
 
@@ -93,10 +93,10 @@
     async def reload(self) -> None:
         """New configurations in a row."""
         proxies = self.simulation.proxies
-        some = self.rng.sample(proxies, max(1, len(proxies) // 3))
-        self.simulation.note_trouble(f"SIGHUP {names_of(some)}")
+        affected = self.rng.sample(proxies, max(1, len(proxies) // 3))
+        self.simulation.record_fault(f"SIGHUP {proxy_names(affected)}")
         for number in range(self.rng.randrange(1, 4)):
-            for proxy in some:
+            for proxy in affected:
                 if proxy.current_run.ended_at < inf:
                     continue
                 settings = {**proxy.config["settings"], "an_unknown_key": number}
@@ -110,7 +110,7 @@
         proxy = self.simulation.choose_proxy()
         if proxy is None:
             return
-        self.simulation.note_trouble(f"idle crowd at n{proxy.number}")
+        self.simulation.record_fault(f"idle crowd at n{proxy.number}")
         run = proxy.current_run
         began = time.monotonic()
         writers = []
@@ -124,6 +124,6 @@
         run.crowded_spans.append((began, time.monotonic()))
 
 
-def names_of(proxies: list[Proxy]) -> str:
+def proxy_names(proxies: list[Proxy]) -> str:
     """Returns the names of proxies, as troubles note them."""
     return " ".join(f"n{proxy.number}" for proxy in proxies)
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -84,7 +84,7 @@
     crowded_spans: list[Span] = field(default_factory=list)  # in which idle clients fill its descriptors
     reset_spans: list[Span] = field(default_factory=list)  # in which reads fail and its connections break
     unreachable_spans: list[Span] = field(default_factory=list)  # in which it cannot call discovery
-    most_descriptors: int = 0  # that were seen
+    peak_descriptors: int = 0  # that were seen
     descriptor_limit: int = 0
     log_path: str = ""
 
@@ -111,7 +111,7 @@
     server_starts: dict[str, float] = field(default_factory=dict)  # servers that started during the run
     sessions_ended_by_server: dict[str, float] = field(default_factory=dict)  # by request, when
     server_zones: dict[str, str] = field(default_factory=dict)
-    troubles: list[tuple[float, str]] = field(default_factory=list)
+    injected_faults: list[tuple[float, str]] = field(default_factory=list)
     lags: list[tuple[float, float]] = field(default_factory=list)  # when this process was late, by how much
 
     @property
--- a/tests/soak/server_troubles.py
+++ b/tests/soak/server_troubles.py
@@ -8,10 +8,10 @@
 from tests.soak.servers import FAILURES, ServerBehaviour
 from tests.soak.simulation import Simulation
 
-LEAST_READY = 3  # servers that stay
+MIN_READY_SERVERS = 3  # servers that stay
 
 
-class ServerTroubles:
+class ServerFaults:
     """What happens to the servers of a run."""
 
     def __init__(self, simulation: Simulation) -> None:
@@ -22,15 +22,15 @@
         """A server drains and ends, and another one starts."""
         simulation = self.simulation
         ready = [server for server in simulation.servers if server.health == "ready"]
-        if len(ready) <= LEAST_READY:
+        if len(ready) <= MIN_READY_SERVERS:
             return
         old = self.rng.choice(ready)
         old.health = "draining"
-        simulation.note_trouble(f"{old.name} drains")
+        simulation.record_fault(f"{old.name} drains")
         simulation.notify_agents(old)
         new = simulation.new_server(old.zone)
         await new.listen()
-        new.note_start()
+        new.record_start()
         simulation.servers.append(new)
         simulation.notify_agents(new)
         await asyncio.sleep(self.rng.uniform(1.5, 4.0))
@@ -45,31 +45,31 @@
         server = self.rng.choice(self.simulation.servers)
         if server.health != "ready":
             return
-        self.simulation.note_trouble(f"{server.name} crashes")
+        self.simulation.record_fault(f"{server.name} crashes")
         server.kill()
         await asyncio.sleep(self.rng.uniform(0.3, 2.0))
         with suppress(OSError):  # its port was taken meanwhile: it stays away
             await server.listen()
-        server.note_start()
+        server.record_start()
         self.simulation.notify_agents(server)
 
     async def misbehave(self) -> None:
         """Some servers fail in one way for a while."""
         behaviour = self.rng.choice(FAILURES)
         servers = self.simulation.servers
-        some = self.rng.sample(servers, max(1, len(servers) // 4))
-        names = " ".join(server.name for server in some)
-        self.simulation.note_trouble(f"{behaviour.value} at {names}")
-        for server in some:
+        affected = self.rng.sample(servers, max(1, len(servers) // 4))
+        names = " ".join(server.name for server in affected)
+        self.simulation.record_fault(f"{behaviour.value} at {names}")
+        for server in affected:
             server.behaviour = behaviour
             server.is_silent = behaviour is ServerBehaviour.HANG and self.rng.random() < 0.5
         await asyncio.sleep(self.rng.uniform(0.5, 4.0))
-        for server in some:
+        for server in affected:
             server.behaviour = ServerBehaviour.UP
             server.is_silent = False
 
     async def drop_connections(self) -> None:
         """A server resets half of its connections."""
         server = self.rng.choice(self.simulation.servers)
-        self.simulation.note_trouble(f"{server.name} drops connections")
+        self.simulation.record_fault(f"{server.name} drops connections")
         server.reset_some(0.5)
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -16,9 +16,9 @@
 MEAN_DELAY = 0.004  # seconds to an answer
 SLOW_DELAYS = (0.25, 0.8)  # seconds
 SLOW_PROBE_DELAY = 0.1  # seconds
-SHARE_LAST_LINE = 0.02  # of a session's lines, after which the server ends it
+SHARE_ENDING_LINES = 0.02  # of a session's lines, after which the server ends it
 BACKLOG = 1024
-UNREADABLE_ANSWERS = (b"UP\r\n", b"\xff\xfe\r\n", b"UP " + b"x" * 5000, b"HELLO there\r\n", b"U")
+MALFORMED_ANSWERS = (b"UP\r\n", b"\xff\xfe\r\n", b"UP " + b"x" * 5000, b"HELLO there\r\n", b"U")
 
 
 class ServerBehaviour(Enum):
@@ -59,7 +59,7 @@
         self.listener = await asyncio.start_server(self.serve, "127.0.0.1", self.port, backlog=BACKLOG)
         self.port = self.listener.sockets[0].getsockname()[1]
 
-    def note_start(self) -> None:
+    def record_start(self) -> None:
         """Notes that its process has started now, on the wall clock and in the records."""
         self.born_ms = round(time.time() * 1000)
         self.records.server_starts[self.name] = time.monotonic()
@@ -123,7 +123,7 @@
             delay = self.rng.uniform(*SLOW_DELAYS)
         else:
             delay = self.rng.expovariate(1 / MEAN_DELAY)
-        if await self.is_given_up(reader, delay):
+        if await self.is_abandoned(reader, delay):
             attempt.ended_at = time.monotonic()
             attempt.answer = "given up"
             return
@@ -131,12 +131,12 @@
             attempt.answer = "UP"
             writer.write(f"UP {self.name}-{attempt.request_id}\r\n".encode())
             self.open_connections[writer] = attempt.request_id
-            await self.play_session(attempt, reader, writer)
+            await self.run_session(attempt, reader, writer)
         else:
             await self.fail(behaviour, attempt, reader, writer)
 
     @staticmethod
-    async def is_given_up(reader: asyncio.StreamReader, delay: float) -> bool:
+    async def is_abandoned(reader: asyncio.StreamReader, delay: float) -> bool:
         """Waits for so many seconds; whether the proxy closes the connection meanwhile."""
         due = time.monotonic() + delay
         while (left := due - time.monotonic()) > 0:
@@ -168,7 +168,7 @@
             self.reset(writer)
         elif behaviour is ServerBehaviour.UNREADABLE:
             attempt.answer = "spoilt"
-            writer.write(self.rng.choice(UNREADABLE_ANSWERS))
+            writer.write(self.rng.choice(MALFORMED_ANSWERS))
             await reader.read()
         elif behaviour is ServerBehaviour.HALF_ANSWER:
             attempt.answer = "half"
@@ -176,7 +176,7 @@
             await writer.drain()
             self.reset(writer)
 
-    async def play_session(
+    async def run_session(
         self, attempt: Attempt, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Sends each line of an established session back; now and then ends the session."""
@@ -185,7 +185,7 @@
                 return
             if not self.is_silent:
                 writer.write(line)
-                if self.rng.random() < SHARE_LAST_LINE:
+                if self.rng.random() < SHARE_ENDING_LINES:
                     self.records.sessions_ended_by_server[attempt.request_id] = time.monotonic()
                     writer.write(b"BYE\r\n")
                     return
--- a/tests/soak/simulation.py
+++ b/tests/soak/simulation.py
@@ -24,25 +24,25 @@
 from tests.soak.records import ClientRecord, Misbehaviour, NotifiedChange, Records
 from tests.soak.servers import Server
 
-READY_WITHIN = 30.0  # seconds
-LONGEST_DEADLINE = 3.0  # seconds; that the platform waits for at most, from SIGTERM on
+READY_TIMEOUT = 30.0  # seconds
+MAX_STOP_DEADLINE = 3.0  # seconds; that the platform waits for at most, from SIGTERM on
 KILL_AFTER_DEADLINE = 0.7  # seconds more, after which SIGKILL comes
 PROBE_TIMEOUT = 1.0  # seconds
-LAST_TASKS_WITHIN = 12.0  # seconds in which clients end once nothing new begins
-LAST_TROUBLES_WITHIN = 8.0  # seconds
-MOST_EARLY_SIGNALS = 3  # SIGHUP before SIGTERM
-MOST_LATE_SIGNALS = 4  # SIGHUP or SIGTERM after it
-SIGNAL_PAUSE = 0.3  # seconds between two of them, at most
-LAG_LOOK_INTERVAL = 0.02  # seconds
-LAG_COUNTS_FROM = 0.04  # seconds
-DESCRIPTORS = 16384  # that this process asks for
+TASKS_END_TIMEOUT = 12.0  # seconds in which clients end once nothing new begins
+FAULTS_END_TIMEOUT = 8.0  # seconds
+MAX_SIGNALS_BEFORE_STOP = 3  # SIGHUP before SIGTERM
+MAX_SIGNALS_AFTER_STOP = 4  # SIGHUP or SIGTERM after it
+MAX_SIGNAL_PAUSE = 0.3  # seconds between two of them, at most
+LAG_SAMPLE_INTERVAL = 0.02  # seconds
+MIN_RECORDED_LAG = 0.04  # seconds
+DESCRIPTOR_LIMIT = 16384  # that this process asks for
 SUBNETS = 250
-CLAIMED_HOST = 254
-CLAIMED_PORT = 4999
+LOCK_HOST = 254
+LOCK_PORT = 4999
 ZONES = ("a", "b")
 SHARE_SHORT_DEADLINE = 0.1  # of requests
 SHARE_MISBEHAVING = 0.05  # of clients
-SHARE_CROWDED = 0.3  # of runs, in which crowds of idle clients are frequent
+SHARE_RUNS_WITH_CROWDS = 0.3  # of runs, in which crowds of idle clients are frequent
 SHARE_LATE_NOTIFICATION = 0.1  # of changes, at each agent
 LATE_NOTIFICATION = (0.05, 0.8)  # seconds
 
@@ -68,7 +68,7 @@
         for step in range(SUBNETS):
             self.number = 1 + (preferred + step) % SUBNETS
             try:
-                self._claim = socket.create_server((f"127.20.{self.number}.{CLAIMED_HOST}", CLAIMED_PORT))
+                self._lock = socket.create_server((f"127.20.{self.number}.{LOCK_HOST}", LOCK_PORT))
                 return
             except OSError:
                 continue
@@ -76,7 +76,7 @@
 
     def close(self) -> None:
         """Leaves it to other runs."""
-        self._claim.close()
+        self._lock.close()
 
 
 class Simulation:
@@ -89,20 +89,20 @@
         self.records = Records()
         self.settings = draw_settings(self.rng, plan.proxies)
         # A generator of its own: drawn from the other one, it would change what the seeds play.
-        self.has_crowds = Random(f"crowds {plan.seed}").random() < SHARE_CROWDED
+        self.has_crowds = Random(f"crowds {plan.seed}").random() < SHARE_RUNS_WITH_CROWDS
         self.servers = [self.new_server(ZONES[n % 2]) for n in range(plan.servers)]
         self.agents = [DiscoveryAgent(n) for n in range(plan.proxies)]
         self.relay = DatagramRelay(plan.proxies)
         self.proxies: list[Proxy] = []
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.troubles: set[asyncio.Task[Any]] = set()
-        self.is_over = False  # whether nothing new begins
+        self.fault_tasks: set[asyncio.Task[Any]] = set()
+        self.is_ending = False  # whether nothing new begins
 
     @property
     def kill_after(self) -> float:
         """Seconds from SIGTERM to SIGKILL, at the earliest that the platform allows itself."""
         longest: float = max(each["deadline_us"] for each in self.settings["service_types"]) / 1e6
-        return min(LONGEST_DEADLINE, longest) + KILL_AFTER_DEADLINE
+        return min(MAX_STOP_DEADLINE, longest) + KILL_AFTER_DEADLINE
 
     # Start.
 
@@ -114,7 +114,7 @@
     async def start(self) -> None:
         """Starts servers, agents and proxies, and waits until the proxies serve."""
         _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (min(DESCRIPTORS, hard), hard))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (min(DESCRIPTOR_LIMIT, hard), hard))
         for server in self.servers:
             await server.listen()
         for agent in self.agents:
@@ -125,7 +125,7 @@
             proxy = self.new_proxy(number, agent, has_upgrades)
             proxy.start()
             self.proxies.append(proxy)
-        await asyncio.gather(*(self.wait_ready(proxy) for proxy in self.proxies))
+        await asyncio.gather(*(self.wait_until_ready(proxy) for proxy in self.proxies))
 
     def new_proxy(self, number: int, agent: DiscoveryAgent, has_upgrades: bool) -> Proxy:
         """Returns a proxy with its configuration, which does not run yet."""
@@ -146,10 +146,10 @@
             proxy.configure(mgmt=f"{address[0]}:5001")
         return proxy
 
-    async def wait_ready(self, proxy: Proxy) -> None:
+    async def wait_until_ready(self, proxy: Proxy) -> None:
         """Sends a proxy clients once its newest process has answered PONG."""
         run = proxy.current_run
-        until = time.monotonic() + READY_WITHIN
+        until = time.monotonic() + READY_TIMEOUT
         while time.monotonic() < until and proxy.current_run is run and run.ended_at == inf:
             with suppress(OSError, TimeoutError, asyncio.IncompleteReadError):
                 connecting = asyncio.open_connection(*proxy.address)
@@ -181,31 +181,31 @@
         One that does not serve yet is waited for: in Python's first instants SIGTERM ends any process.
         """
         if proxy.current_run.ready_at == inf:
-            await self.wait_ready(proxy)
+            await self.wait_until_ready(proxy)
         signals = Random(f"signals {self.plan.seed} {proxy.number} {len(proxy.runs)}")
-        for _ in range(signals.randrange(MOST_EARLY_SIGNALS + 1)):
+        for _ in range(signals.randrange(MAX_SIGNALS_BEFORE_STOP + 1)):
             proxy.send_signal(signal.SIGHUP)
-            await asyncio.sleep(signals.uniform(0.0, SIGNAL_PAUSE))
+            await asyncio.sleep(signals.uniform(0.0, MAX_SIGNAL_PAUSE))
         proxy.request_stop()
         kill_at = time.monotonic() + self.kill_after
-        for _ in range(signals.randrange(MOST_LATE_SIGNALS + 1)):
-            await asyncio.sleep(signals.uniform(0.0, SIGNAL_PAUSE))
+        for _ in range(signals.randrange(MAX_SIGNALS_AFTER_STOP + 1)):
+            await asyncio.sleep(signals.uniform(0.0, MAX_SIGNAL_PAUSE))
             proxy.send_signal(signals.choice((signal.SIGHUP, signal.SIGTERM)))
         await self.wait_for_end(proxy, kill_at - time.monotonic())
 
     # Clients.
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
+    def spawn_task(self, work: Coroutine[Any, Any, Any]) -> None:
         """Plays something beside all else; the run waits for its end."""
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def spawn_trouble(self, trouble: Coroutine[Any, Any, None]) -> None:
+    def spawn_fault(self, fault: Coroutine[Any, Any, None]) -> None:
         """Begins a trouble beside all else; the proxies are stopped once it is over."""
-        task = asyncio.ensure_future(trouble)
-        self.troubles.add(task)
-        task.add_done_callback(self.troubles.discard)
+        task = asyncio.ensure_future(fault)
+        self.fault_tasks.add(task)
+        task.add_done_callback(self.fault_tasks.discard)
 
     def choose_proxy(self) -> Proxy | None:
         """Returns one that is in rotation."""
@@ -215,7 +215,7 @@
         ]
         return self.rng.choice(in_rotation) if in_rotation else None
 
-    async def play_client(self, is_retry: bool = False) -> None:
+    async def run_client(self, is_retry: bool = False) -> None:
         """Plays one client, and the same again if it is migrated or rejected."""
         proxy = self.choose_proxy()
         if proxy is None:
@@ -229,20 +229,20 @@
         rng = Random(self.rng.random())
         client = Client(proxy, self.records, rng, traffic_class, time_allowed, misbehaviour)
         try:
-            record: ClientRecord = await client.play()
+            record: ClientRecord = await client.run()
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             return
         was_rejected = bool(record.answers) and record.answers[-1][1].startswith("BUSY")
         if record.was_migrated or (was_rejected and not is_retry):
             await asyncio.sleep(self.rng.uniform(0.05, 0.5))
-            if not self.is_over:
-                self.spawn(self.play_client(is_retry=True))
+            if not self.is_ending:
+                self.spawn_task(self.run_client(is_retry=True))
 
-    async def play_arrivals(self) -> None:
+    async def generate_arrivals(self) -> None:
         """Lets clients come at random until nothing new begins."""
-        while not self.is_over:
+        while not self.is_ending:
             await asyncio.sleep(self.rng.expovariate(self.plan.rate))
-            self.spawn(self.play_client())
+            self.spawn_task(self.run_client())
 
     # Discovery.
 
@@ -250,7 +250,7 @@
         """Gives changes to all agents, to some of them late."""
         for agent in self.agents:
             if self.rng.random() < SHARE_LATE_NOTIFICATION:
-                self.spawn(self.notify_late(agent, changed, self.rng.uniform(*LATE_NOTIFICATION)))
+                self.spawn_task(self.notify_late(agent, changed, self.rng.uniform(*LATE_NOTIFICATION)))
             else:
                 self.notify(agent, entries_of(changed))
 
@@ -261,55 +261,55 @@
 
     def notify(self, agent: DiscoveryAgent, entries: list[Entry]) -> None:
         """Gives changes to an agent and notes from when they count as known."""
-        self.note_notifications(agent, entries, agent.receive_changes(entries))
+        self.record_notifications(agent, entries, agent.receive_changes(entries))
 
-    def note_notifications(self, agent: DiscoveryAgent, entries: list[Entry], delivery: Delivery) -> None:
+    def record_notifications(self, agent: DiscoveryAgent, entries: list[Entry], delivery: Delivery) -> None:
         """Notes from when a proxy counts as notified of servers' changes."""
         self.records.notifications += [
             NotifiedChange(
-                agent.proxy, entry["host"], delivery.known_at, delivery.text, entry["health"] == "ready"
+                agent.proxy, entry["host"], delivery.notified_at, delivery.text, entry["health"] == "ready"
             )
             for entry in entries
-            if delivery.known_at < inf
+            if delivery.notified_at < inf
         ]
 
-    def note_trouble(self, text: str) -> None:
+    def record_fault(self, text: str) -> None:
         """Notes a trouble that begins now."""
-        self.records.troubles.append((time.monotonic(), text))
+        self.records.injected_faults.append((time.monotonic(), text))
 
     # The run.
 
     async def watch_lag(self) -> None:
         """Notes when this process is late itself, and what became of the proxies' processes."""
-        while not self.is_over:
+        while not self.is_ending:
             before = time.monotonic()
-            await asyncio.sleep(LAG_LOOK_INTERVAL)
-            late = time.monotonic() - before - LAG_LOOK_INTERVAL
-            if late > LAG_COUNTS_FROM:
+            await asyncio.sleep(LAG_SAMPLE_INTERVAL)
+            late = time.monotonic() - before - LAG_SAMPLE_INTERVAL
+            if late > MIN_RECORDED_LAG:
                 self.records.lags.append((before, late))
             if round(before * 50) % 10 == 0:
                 for proxy in self.proxies:
                     proxy.observe()
 
-    async def run(self, troubles: Coroutine[Any, Any, None]) -> Records:
+    async def run(self, faults: Coroutine[Any, Any, None]) -> Records:
         """Plays the whole run beside the troubles; returns what was noted."""
         asyncio.get_running_loop().set_exception_handler(ignore_lost_connections)
         try:
             await self.start()
             background = [
-                asyncio.ensure_future(work) for work in (self.play_arrivals(), troubles, self.watch_lag())
+                asyncio.ensure_future(work) for work in (self.generate_arrivals(), faults, self.watch_lag())
             ]
             await asyncio.sleep(self.plan.seconds)
-            self.is_over = True
-            await asyncio.wait(background, timeout=LAST_TROUBLES_WITHIN)
-            if self.troubles:
-                await asyncio.wait(set(self.troubles), timeout=LAST_TROUBLES_WITHIN)
+            self.is_ending = True
+            await asyncio.wait(background, timeout=FAULTS_END_TIMEOUT)
+            if self.fault_tasks:
+                await asyncio.wait(set(self.fault_tasks), timeout=FAULTS_END_TIMEOUT)
             # Sessions go on meanwhile: their clients use them until they are migrated, or cut off.
             for proxy in self.proxies:
                 proxy.send_signal(signal.SIGCONT)
             await asyncio.gather(*(self.stop(proxy) for proxy in self.proxies))
             if self.tasks:
-                await asyncio.wait(set(self.tasks), timeout=LAST_TASKS_WITHIN)
+                await asyncio.wait(set(self.tasks), timeout=TASKS_END_TIMEOUT)
             return self.records
         finally:
             self.close()
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -6,23 +6,23 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from tests.soak.machine_troubles import MachineTroubles
-from tests.soak.proxy_troubles import ProxyTroubles
-from tests.soak.server_troubles import ServerTroubles
+from tests.soak.machine_troubles import MachineFaults
+from tests.soak.proxy_troubles import ProxyFaults
+from tests.soak.server_troubles import ServerFaults
 from tests.soak.simulation import Simulation
 
-QUIET_BEGINNING = 6.0  # seconds before the first trouble
-CROWDS_WHERE_FREQUENT = 4  # more entries of this trouble, in runs that have crowds
-SHARE_QUIET = 0.4  # of runs, that begin so
+INITIAL_QUIET_TIME = 6.0  # seconds before the first trouble
+EXTRA_CROWD_ENTRIES = 4  # more entries of this trouble, in runs that have crowds
+SHARE_QUIET_START = 0.4  # of runs, that begin so
 
-Trouble = Callable[[], Coroutine[Any, Any, None]]
+Fault = Callable[[], Coroutine[Any, Any, None]]
 
 
-def all_troubles(simulation: Simulation) -> tuple[Trouble, ...]:
+def all_faults(simulation: Simulation) -> tuple[Fault, ...]:
     """Returns what may be drawn; one that stands twice comes twice as often."""
-    servers = ServerTroubles(simulation)
-    proxies = ProxyTroubles(simulation)
-    machine = MachineTroubles(simulation)
+    servers = ServerFaults(simulation)
+    proxies = ProxyFaults(simulation)
+    machine = MachineFaults(simulation)
     return (
         servers.replace,
         servers.replace,
@@ -45,17 +45,17 @@
         machine.partition,
         machine.burst,
         proxies.crowd,
-        *([proxies.crowd] * CROWDS_WHERE_FREQUENT if simulation.has_crowds else []),
+        *([proxies.crowd] * EXTRA_CROWD_ENTRIES if simulation.has_crowds else []),
     )
 
 
-async def play_troubles(simulation: Simulation) -> None:
+async def inject_faults(simulation: Simulation) -> None:
     """Begins one to three troubles at a time, whatever still goes on, until nothing new begins."""
     rng = simulation.rng
-    troubles = all_troubles(simulation)
-    if rng.random() < SHARE_QUIET:
-        await asyncio.sleep(QUIET_BEGINNING)
-    while not simulation.is_over:
+    faults = all_faults(simulation)
+    if rng.random() < SHARE_QUIET_START:
+        await asyncio.sleep(INITIAL_QUIET_TIME)
+    while not simulation.is_ending:
         for _ in range(rng.choice((1, 2, 3))):
-            simulation.spawn_trouble(rng.choice(troubles)())
+            simulation.spawn_fault(rng.choice(faults)())
         await asyncio.sleep(rng.uniform(0.2, 1.5))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,14 +7,14 @@
 import pytest
 
 from tests.overrides import overrides
-from tests.soak.run import play
+from tests.soak.run import run_soak
 from tests.soak.simulation import SimulationPlan
 
 SEEDS = (3, 11)
-TRIES = 9  # seeds in which a fault may be found
+MAX_SEEDS = 9  # seeds in which a fault may be found
 INVARIANTS = "brambleplank.decisions.request_invariants:RequestInvariants"
 EFFECTS_ARE_IGNORED = {"brambleplank.decisions.idempotency:IdempotencyStage.excludes": "lambda *what: False"}
-SABOTAGE = {
+INJECTED_DEFECTS = {
     # Goes again whatever may have run, and the guard does not look.
     "no effect twice": overrides(
         {
@@ -46,27 +46,27 @@
 }
 
 
-def play_short(seed: int, folder: Path, patch: str = "") -> tuple[set[str], str]:
+def run_short(seed: int, folder: Path, patch: str = "") -> tuple[set[str], str]:
     """Returns the rules that a short run broke, and its text; plays it again if it is void."""
     for number in range(3):
-        verdict = play(SimulationPlan(seed, folder / str(number), 6, 6, 7.0, 40.0, patch))
-        if not verdict.is_void:
-            return {breach.rule for breach in verdict.breaches}, verdict.text(5)
+        result = run_soak(SimulationPlan(seed, folder / str(number), 6, 6, 7.0, 40.0, patch))
+        if not result.is_inconclusive:
+            return {violation.rule for violation in result.violations}, result.text(5)
     return set(), "void: this machine was too busy to judge"
 
 
 @pytest.mark.timeout(180)
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_rule_is_broken_while_troubles_overlap(tmp_path: Path, seed: int) -> None:
-    broken, text = play_short(seed, tmp_path)
-    assert not broken, text
+    broken_rules, text = run_short(seed, tmp_path)
+    assert not broken_rules, text
 
 
 @pytest.mark.timeout(180)
-@pytest.mark.parametrize("rule", SABOTAGE)
+@pytest.mark.parametrize("rule", INJECTED_DEFECTS)
 def test_a_fault_put_in_on_purpose_is_found(tmp_path: Path, rule: str) -> None:
-    for seed in range(1, TRIES + 1):  # what a short run meets is left to chance
-        broken, text = play_short(seed, tmp_path / str(seed), SABOTAGE[rule])
-        if rule in broken:
+    for seed in range(1, MAX_SEEDS + 1):  # what a short run meets is left to chance
+        broken_rules, text = run_short(seed, tmp_path / str(seed), INJECTED_DEFECTS[rule])
+        if rule in broken_rules:
             return
     pytest.fail(f"not found: {rule}; {text}")
--- a/tests/test_soak_records.py
+++ b/tests/test_soak_records.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from tests.soak.discovery import SILENCE_KNOWN_AFTER, DiscoveryAgent, Entry
+from tests.soak.discovery import SILENCE_DETECTED_AFTER, DiscoveryAgent, Entry
 from tests.soak.drawn_settings import draw_settings
-from tests.soak.judge import Breach, Judge
+from tests.soak.judge import RecordChecker, Violation
 from tests.soak.proxies import Proxy
 from tests.soak.records import Attempt, ClientRecord, NotifiedChange, ProcessRun, Records
 from tests.soak.simulation import Subnet
@@ -34,9 +34,9 @@
 
 def test_span_of_failing_connects_ends_though_the_plan_was_changed_meanwhile(proxy: Proxy) -> None:
     # Guards against a judge that excuses every later drain of a process: its span never ended.
-    proxy.inject_faults(**UNREACHABLE)
-    proxy.inject_faults(**UNREACHABLE, wall=5.0)
-    proxy.inject_faults(wall=5.0)
+    proxy.apply_fault_plan(**UNREACHABLE)
+    proxy.apply_fault_plan(**UNREACHABLE, wall=5.0)
+    proxy.apply_fault_plan(wall=5.0)
     spans = proxy.current_run.unreachable_spans
     assert len(spans) == 1 and spans[0][1] < inf
 
@@ -63,13 +63,13 @@
     return {"host": name, "dial": "127.0.0.1:1", "site": "a", "health": "draining", "padding": "." * 200}
 
 
-def play(acts: Callable[[DiscoveryAgent], Coroutine[Any, Any, None]]) -> None:
+def run_with_agent(scenario: Callable[[DiscoveryAgent], Coroutine[Any, Any, None]]) -> None:
     """Plays acts with an agent that listens."""
 
     async def run() -> None:
         agent = DiscoveryAgent(0)
         await agent.listen()
-        await asyncio.wait_for(acts(agent), TEST_TIMEOUT)
+        await asyncio.wait_for(scenario(agent), TEST_TIMEOUT)
         assert agent.listener is not None
         agent.listener.close()
 
@@ -78,68 +78,72 @@
 
 def test_changes_in_pieces_reach_a_watch_one_after_another() -> None:
     # Guards against a soak that blames a proxy for a change whose pieces were mixed with those of the next.
-    async def acts(agent: DiscoveryAgent) -> None:
+    async def scenario(agent: DiscoveryAgent) -> None:
         reader, _ = await open_watch(agent)
         agent.sends_pieces = True
         for number in range(5):
             agent.receive_changes([entry(f"s{number}")])
-        assert agent.unreached_since < inf
+        assert agent.undelivered_since < inf
         for number in range(5):
             assert (await read_line(reader))["hosts"] == [entry(f"s{number}")]
-        assert agent.unreached_since == inf
+        assert agent.undelivered_since == inf
 
-    play(acts)
+    run_with_agent(scenario)
 
 
 def test_silent_watch_counts_until_its_proxy_ends_it() -> None:
     # Guards against changes that count as known before they were made, or late though no watch is open.
-    async def acts(agent: DiscoveryAgent) -> None:
+    async def scenario(agent: DiscoveryAgent) -> None:
         _, writer = await open_watch(agent)
         agent.silence_watches()
         silent = time.monotonic()
-        known_at = agent.receive_changes([entry("s0")]).known_at
-        assert known_at == pytest.approx(silent + SILENCE_KNOWN_AFTER, abs=0.5)
+        notified_at = agent.receive_changes([entry("s0")]).notified_at
+        assert notified_at == pytest.approx(silent + SILENCE_DETECTED_AFTER, abs=0.5)
         for watch in agent.watches:
-            watch.silent_since -= 2 * SILENCE_KNOWN_AFTER
-        assert agent.receive_changes([entry("s1")]).known_at >= silent
+            watch.silent_since -= 2 * SILENCE_DETECTED_AFTER
+        assert agent.receive_changes([entry("s1")]).notified_at >= silent
         writer.close()
         while agent.watches:
             await asyncio.sleep(POLL_INTERVAL)
-        assert agent.unreached_since < inf
+        assert agent.undelivered_since < inf
 
-    play(acts)
+    run_with_agent(scenario)
 
 
 def test_agent_is_down_until_its_last_outage_is_over() -> None:
     # Guards against an agent that serves amid an outage, and against changes that count before its return.
     agent = DiscoveryAgent(0)
-    agent.go_down(3.0)
-    agent.go_down(3.0)
-    assert agent.receive_changes([entry("s0")]).known_at == inf
-    assert agent.come_back() == [] and agent.is_down
-    assert agent.come_back() == [entry("s0")] and not agent.is_down
+    agent.begin_outage(3.0)
+    agent.begin_outage(3.0)
+    assert agent.receive_changes([entry("s0")]).notified_at == inf
+    assert agent.end_outage() == [] and agent.is_down
+    assert agent.end_outage() == [entry("s0")] and not agent.is_down
     assert agent.entries["s0"][1] == entry("s0")
 
 
-def two_attempts(end_seen_at: float, lags: list[tuple[float, float]]) -> list[Breach]:
+def check_overlapping_attempts(end_seen_at: float, lags: list[tuple[float, float]]) -> list[Violation]:
     """Judges a request that was sent to two servers, whose second attempt came at 10.0."""
     records = Records(lags=lags, processes=[ProcessRun(0, 0.0, log_path="/dev/null")])
     records.clients.append(ClientRecord("1", "feed", 0, 0, 1.0, sent_at=9.5, answers=[(10.1, "BUSY")]))
     records.attempts.append(Attempt("1", "feed", "s1", 9.6, 9.6, "nothing", ended_at=end_seen_at))
     records.attempts.append(Attempt("1", "feed", "s2", 10.0, 10.0, "BUSY", ended_at=10.1))
-    return Judge(records, draw_settings(Random(1), 6), 40.0, 6).judge()
+    return RecordChecker(records, draw_settings(Random(1), 6), 40.0, 6).check_all()
 
 
 def test_two_attempts_out_are_found_but_for_the_judges_own_lateness() -> None:
     # Guards against a judge that was late itself and takes it for a second attempt out at once.
-    assert not two_attempts(10.04, [])
-    assert [breach.rule for breach in two_attempts(10.08, [])] == ["two attempts out"]
-    assert not two_attempts(10.08, [(10.01, 0.06)])
-    assert [breach.rule for breach in two_attempts(10.18, [(10.01, 0.06)])] == ["two attempts out"]
-    assert [breach.rule for breach in two_attempts(10.08, [(10.09, 0.06)])] == ["two attempts out"]
-
-
-def slow_start_breaches(proxies_notified: int) -> list[str]:
+    assert not check_overlapping_attempts(10.04, [])
+    assert [violation.rule for violation in check_overlapping_attempts(10.08, [])] == ["two attempts out"]
+    assert not check_overlapping_attempts(10.08, [(10.01, 0.06)])
+    assert [violation.rule for violation in check_overlapping_attempts(10.18, [(10.01, 0.06)])] == [
+        "two attempts out"
+    ]
+    assert [violation.rule for violation in check_overlapping_attempts(10.08, [(10.09, 0.06)])] == [
+        "two attempts out"
+    ]
+
+
+def check_slow_start_with(proxies_notified: int) -> list[str]:
     """Judges a server in slow start that gets 12 attempts each of three proxies, some of them notified."""
     records = Records(server_starts={"s1": 10.0})
     for proxy in range(3):
@@ -151,14 +155,14 @@
             records.attempts.append(Attempt(name, "feed", "s1", at, at, "BUSY", ended_at=at))
     for proxy in range(proxies_notified):
         records.notifications.append(NotifiedChange(proxy, "s1", 10.0, "", is_ready=True))
-    judge = Judge(records, draw_settings(Random(1), 3), 12.0, 6)
-    return [breach.rule for breach in judge.judge()]
+    checker = RecordChecker(records, draw_settings(Random(1), 3), 12.0, 6)
+    return [violation.rule for violation in checker.check_all()]
 
 
 def test_server_is_pushed_over_by_proxies_that_were_notified_of_its_start() -> None:
     # Guards against a judge that blames proxies for a start of which discovery has told them nothing yet.
-    assert slow_start_breaches(proxies_notified=3) == ["slow start"]
-    assert slow_start_breaches(proxies_notified=2) == []
+    assert check_slow_start_with(proxies_notified=3) == ["slow start"]
+    assert check_slow_start_with(proxies_notified=2) == []
 
 
 def test_runs_beside_each_other_have_addresses_of_their_own() -> None:
