--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,6 +1,7 @@
-"""A soak of real proxy processes on loopback, under troubles that overlap, judged by independent records.
+"""Soak test: real proxy processes on loopback under overlapping faults, checked against independent records.
 
-One event loop plays servers, discovery and clients, and notes what each saw. The proxies are processes
-started by the real command, with the faults of `tests/faults.py` loaded ahead; `judge` compares the notes
-with the rules once all have ended. `python -m tests.soak --seeds 1-20` plays many seeds.
+A single event loop simulates the servers, discovery and the clients, and records what each of them observes.
+The proxies are separate processes that run the real command after the fault hooks of `tests/faults.py` have
+been installed. When all processes have exited, the `judge` module checks the records against the rules.
+`python -m tests.soak --seeds 1-20` runs a range of seeds.
 """
--- a/tests/soak/drawn_settings.py
+++ b/tests/soak/drawn_settings.py
@@ -1,4 +1,4 @@
-"""The settings of one run, drawn by its seed."""
+"""Random settings for one run."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def draw_settings(rng: Random, proxies: int) -> dict[str, Any]:
-    """Returns settings as the platform writes them; times in microseconds."""
+    """Returns settings in the platform's format; times are in microseconds."""
     deadline = rng.choice((700_000, 1_200_000, 1_800_000))
     window = rng.choice((400_000, 1_000_000, 3_000_000))
     traffic_classes: list[dict[str, Any]] = [
--- a/tests/soak/machine_troubles.py
+++ b/tests/soak/machine_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of what surrounds the proxies: discovery, system calls, the wall clock, the network, the load."""
+"""Faults in the proxies' environment: discovery, system calls, the wall clock, the network, the load."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 DISCOVERY_OUTAGE = 3.0  # seconds
 DISCOVERY_FAULTS = ("silence", "reset", "down", "pieces")
 CLOCK_STEPS = (-3600.0, -5.0, 5.0, 3600.0)  # seconds
-PARTITION_LOSS = 0.2  # of datagrams on links that are not cut
+PARTITION_LOSS = 0.2  # of datagrams, on the links that are not severed
 SYSTEM_CALLS = (
     ("accept", ("EMFILE", "ENFILE", "ENOBUFS", "ECONNABORTED")),
     ("connect", ("EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS", "EHOSTUNREACH")),
@@ -25,14 +25,16 @@
 
 
 class MachineFaults:
-    """What happens around the proxies of a run."""
+    """Injects faults into the environment of a run's proxies."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
         self.rng = simulation.rng
 
     async def disturb_discovery(self) -> None:
-        """Some agents' watches fall silent or break, or the agents are down, or answer in small pieces."""
+        """Silences or resets the watches of half of the agents, or takes these agents down, or toggles
+        whether they write in small pieces.
+        """
         agents = self.simulation.agents
         affected = self.rng.sample(agents, max(1, len(agents) // 2))
         fault = self.rng.choice(DISCOVERY_FAULTS)
@@ -52,24 +54,27 @@
                 missed = agent.end_outage()
                 now = time.monotonic()
                 self.simulation.record_notifications(
-                    agent, missed, Delivery(now, f"{now:.3f} told at the return")
+                    agent, missed, Delivery(now, f"{now:.3f} delivered after the outage")
                 )
 
     def take_down(self, agent: DiscoveryAgent) -> None:
-        """An agent is down; what has not reached its proxy counts as known only once it is back."""
+        """Begins an outage of an agent.
+
+        Changes that may not have reached its proxy count as notified only from the end of the outage.
+        """
         agent.begin_outage(DISCOVERY_OUTAGE)
         for change in self.simulation.records.notifications:
             if change.proxy == agent.proxy and change.notified_at >= agent.undelivered_since:
                 change.notified_at = max(change.notified_at, agent.down_until)
-                change.delivery += f", not written whole, down until {agent.down_until:.3f}"
+                change.delivery += f", possibly undelivered, down until {agent.down_until:.3f}"
 
     async def fail_system_calls(self) -> None:
-        """A system call fails now and then at some proxies, and reads and writes come short."""
+        """Makes a share of one system call fail in a third of the proxies, sometimes with short I/O as well."""
         proxies = self.simulation.proxies
         affected = self.rng.sample(proxies, max(1, len(proxies) // 3))
         call, errors = self.rng.choice(SYSTEM_CALLS)
         share = 0.02 if call in ("recv", "send") else self.rng.choice((0.1, 0.5, 1.0))
-        share = min(share, 0.5) if call == "accept" else share  # nobody is served while none can be accepted
+        share = min(share, 0.5) if call == "accept" else share  # no client is served if every accept fails
         plan = {"fail": {call: (share, self.rng.choice(errors))}, "short": self.rng.choice((0.0, 0.5))}
         self.simulation.record_fault(f"system calls {plan} at {proxy_names(affected)}")
         for proxy in affected:
@@ -80,7 +85,7 @@
             proxy.apply_fault_plan(wall=proxy.fault_plan.get("wall", 0.0))
 
     async def step_clock(self) -> None:
-        """The wall clock of some proxies steps."""
+        """Steps the wall clock of a third of the proxies."""
         proxies = self.simulation.proxies
         affected = self.rng.sample(proxies, max(1, len(proxies) // 3))
         step = self.rng.choice(CLOCK_STEPS)
@@ -91,11 +96,11 @@
                 proxy.apply_fault_plan(**{**proxy.fault_plan, "wall": wall})
 
     async def partition(self) -> None:
-        """Half of the proxies do not hear the others for a while, and datagrams are lost."""
+        """Cuts the links between two halves of the proxies for a while; all other links lose datagrams."""
         relay = self.simulation.relay
         proxies = len(self.simulation.proxies)
         affected = set(self.rng.sample(range(proxies), proxies // 2))
-        self.simulation.record_fault("peers are partitioned")
+        self.simulation.record_fault("partition between peers")
         relay.partition(affected)
         relay.loss = PARTITION_LOSS
         await asyncio.sleep(self.rng.uniform(1.0, 4.0))
@@ -103,7 +108,7 @@
         relay.loss = 0.0
 
     async def burst(self) -> None:
-        """The clients of one second come within half a second more, beside the usual ones."""
+        """Starts one second's worth of additional clients within half a second."""
         self.simulation.record_fault("burst")
         rate = self.simulation.plan.rate
         for _ in range(round(rate)):
--- a/tests/soak/proxy_troubles.py
+++ b/tests/soak/proxy_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of proxies: stops, kills, upgrades, reloads, suspended processes, crowds of idle clients."""
+"""Faults of proxy processes: stops, kills, upgrades, reloads, suspensions, crowds of idle clients."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from tests.soak.proxies import Proxy
 from tests.soak.simulation import Simulation
 
-KILL_SEEN_WITHIN = 5.0  # seconds
-IDLE_CLIENTS = 280  # more than a proxy has descriptors
+KILL_SEEN_WITHIN = 5.0  # seconds from SIGKILL until the process must have exited
+IDLE_CLIENTS = 280  # exceeds the descriptor limit of a proxy
 SUSPENSION = (0.02, 0.13)  # seconds
 
 
 class ProxyFaults:
-    """What happens to the proxies' processes of a run."""
+    """Injects faults into the proxy processes of a run."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
         self.rng = simulation.rng
 
     def choose_stable(self) -> Proxy | None:
-        """Returns a proxy in rotation; None if the one that was drawn is amid an upgrade or a stop."""
+        """Draws a proxy from the rotation. Returns None if it is being upgraded or stopped."""
         proxy = self.simulation.choose_proxy()
         if proxy is None or proxy.is_upgrading or proxy.current_run.stop_requested_at < inf:
             return None
         return proxy
 
     async def stop_and_start(self) -> None:
-        """A planned stop, then another process."""
+        """Stops a proxy as planned and starts a new process."""
         proxy = self.choose_stable()
         if proxy is None:
             return
@@ -41,7 +41,7 @@
         await self.simulation.wait_until_ready(proxy)
 
     async def kill_and_start(self) -> None:
-        """A kill, then another process."""
+        """Kills a proxy's process and starts a new one."""
         proxy = self.choose_stable()
         if proxy is None:
             return
@@ -53,7 +53,7 @@
         await self.simulation.wait_until_ready(proxy)
 
     async def upgrade(self) -> None:
-        """The next process starts beside the first, which stops once the next one serves."""
+        """Starts a new process next to the current one, which is stopped once the new one serves."""
         proxy = self.choose_stable()
         if proxy is None or "mgmt" not in proxy.config or proxy.current_run.ready_at == inf:
             return
@@ -71,27 +71,27 @@
         proxy.is_upgrading = False
 
     async def suspend(self) -> None:
-        """Some processes are not run for up to 0.15 s, again and again."""
+        """Suspends a quarter of the proxies ten times, each for a moment (SIGSTOP, then SIGCONT)."""
         proxies = self.simulation.proxies
         affected = self.rng.sample(proxies, max(1, len(proxies) // 4))
-        self.simulation.record_fault(f"held up: {proxy_names(affected)}")
+        self.simulation.record_fault(f"suspended: {proxy_names(affected)}")
         for _ in range(10):
             for proxy in affected:
                 await self.suspend_once(proxy)
             await asyncio.sleep(self.rng.uniform(0.0, 0.1))
 
     async def suspend_once(self, proxy: Proxy) -> None:
-        """Stops a proxy's newest process for a moment, and notes for how long."""
+        """Suspends a proxy's newest process for a moment and records the span."""
         began = time.monotonic()
         process = proxy.process
         run = proxy.current_run
         if process is not None and run.ended_at == inf and proxy.send_signal(signal.SIGSTOP):
             await asyncio.sleep(self.rng.uniform(*SUSPENSION))
-            process.send_signal(signal.SIGCONT)  # this one, as another may have been started
+            process.send_signal(signal.SIGCONT)  # not the proxy's newest: it may have been replaced
             run.suspensions.append((began, time.monotonic()))
 
     async def reload(self) -> None:
-        """New configurations in a row."""
+        """Changes and reloads the configuration of a third of the proxies, one to three times in a row."""
         proxies = self.simulation.proxies
         affected = self.rng.sample(proxies, max(1, len(proxies) // 3))
         self.simulation.record_fault(f"SIGHUP {proxy_names(affected)}")
@@ -106,11 +106,11 @@
             await asyncio.sleep(self.rng.uniform(0.0, 0.4))
 
     async def crowd(self) -> None:
-        """Clients connect to one proxy and send nothing, until its descriptors are used up."""
+        """Opens idle connections to one proxy until its descriptors are exhausted."""
         proxy = self.simulation.choose_proxy()
         if proxy is None:
             return
-        self.simulation.record_fault(f"idle crowd at n{proxy.number}")
+        self.simulation.record_fault(f"crowd of idle clients at n{proxy.number}")
         run = proxy.current_run
         began = time.monotonic()
         writers = []
@@ -125,5 +125,5 @@
 
 
 def proxy_names(proxies: list[Proxy]) -> str:
-    """Returns the names of proxies, as troubles note them."""
+    """Returns the names of proxies for the record of a fault."""
     return " ".join(f"n{proxy.number}" for proxy in proxies)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak, from its seed to the verdict."""
+"""Runs the soak for one seed and checks its records."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from tests.soak.simulation import Simulation, SimulationPlan
 from tests.soak.troubles import inject_faults
 
-MAX_TOTAL_LAG = 2.0  # seconds in all by which the judging process itself may be late
+MAX_TOTAL_LAG = 2.0  # seconds, summed over the run, by which the simulating process may be late
 
 
 @dataclass(frozen=True)
 class RunResult:
-    """What one run has shown."""
+    """The records of one run and the rule violations found in them."""
 
     seed: int
     records: Records
@@ -24,20 +24,21 @@
 
     @property
     def is_inconclusive(self) -> bool:
-        """Whether this machine was too busy to judge."""
+        """Whether the simulating process itself was delayed too much for the result to count."""
         return self.records.total_lag > MAX_TOTAL_LAG
 
     def text(self, max_per_rule: int) -> str:
-        """Returns a line of figures, and so many breaches of each rule."""
+        """Returns a summary line, followed by at most `max_per_rule` violations of each rule."""
         records = self.records
         established = sum(client.is_established for client in records.clients)
-        void = " (VOID: this machine was too busy to judge)" if self.is_inconclusive else ""
+        inconclusive = "(INCONCLUSIVE: machine overloaded) " if self.is_inconclusive else ""
         counts = dict(Counter(violation.rule for violation in self.violations))
         lines = [
             f"seed {self.seed}: {len(records.clients)} requests, {established} UP, "
             f"{len(records.attempts)} attempts, {len(records.processes)} processes, "
-            f"{records.killed_after_stop} killed after a stop, {len(records.injected_faults)} troubles, "
-            f"lag {records.total_lag:.1f} s: " + void + (f"BROKEN {counts}" if counts else "no rule broken")
+            f"{records.killed_after_stop} killed after a stop, {len(records.injected_faults)} faults, "
+            f"lag {records.total_lag:.1f} s: {inconclusive}"
+            + (f"VIOLATIONS {counts}" if counts else "no violations")
         ]
         shown: Counter[str] = Counter()
         for violation in self.violations:
@@ -48,7 +49,7 @@
 
 
 def run_soak(plan: SimulationPlan) -> RunResult:
-    """Plays one run and judges it."""
+    """Runs the simulation and checks its records against the rules."""
     simulation = Simulation(plan)
     records = asyncio.run(simulation.run(inject_faults(simulation)))
     violations = RecordChecker(records, simulation.settings, plan.rate, plan.servers).check_all()
--- a/tests/soak/server_troubles.py
+++ b/tests/soak/server_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of servers: planned replacements, crashes, bad answers, dropped connections."""
+"""Faults of servers: planned replacements, crashes, bad answers, dropped connections."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from tests.soak.servers import FAILURES, ServerBehaviour
 from tests.soak.simulation import Simulation
 
-MIN_READY_SERVERS = 3  # servers that stay
+MIN_READY_SERVERS = 3  # servers that stay ready during a replacement
 
 
 class ServerFaults:
-    """What happens to the servers of a run."""
+    """Injects faults into the simulated servers of a run."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
         self.rng = simulation.rng
 
     async def replace(self) -> None:
-        """A server drains and ends, and another one starts."""
+        """Drains and removes a server, and starts another one in its zone."""
         simulation = self.simulation
         ready = [server for server in simulation.servers if server.health == "ready"]
         if len(ready) <= MIN_READY_SERVERS:
@@ -41,20 +41,20 @@
         simulation.servers.remove(old)
 
     async def crash(self) -> None:
-        """A server's process dies and starts again."""
+        """Simulates the crash and restart of a server process."""
         server = self.rng.choice(self.simulation.servers)
         if server.health != "ready":
             return
         self.simulation.record_fault(f"{server.name} crashes")
         server.kill()
         await asyncio.sleep(self.rng.uniform(0.3, 2.0))
-        with suppress(OSError):  # its port was taken meanwhile: it stays away
+        with suppress(OSError):  # if the port has been taken meanwhile, the server stays unreachable
             await server.listen()
         server.record_start()
         self.simulation.notify_agents(server)
 
     async def misbehave(self) -> None:
-        """Some servers fail in one way for a while."""
+        """Makes a quarter of the servers fail for a while, all of them in the same way."""
         behaviour = self.rng.choice(FAILURES)
         servers = self.simulation.servers
         affected = self.rng.sample(servers, max(1, len(servers) // 4))
@@ -69,7 +69,7 @@
             server.is_silent = False
 
     async def drop_connections(self) -> None:
-        """A server resets half of its connections."""
+        """Makes a server reset about half of its connections."""
         server = self.rng.choice(self.simulation.servers)
         self.simulation.record_fault(f"{server.name} drops connections")
         server.reset_some(0.5)
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -1,4 +1,4 @@
-"""The troubles of a run: which ones the seed draws, and when."""
+"""Schedules the faults of a run: the seed decides which ones are injected, and when."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from tests.soak.server_troubles import ServerFaults
 from tests.soak.simulation import Simulation
 
-INITIAL_QUIET_TIME = 6.0  # seconds before the first trouble
-EXTRA_CROWD_ENTRIES = 4  # more entries of this trouble, in runs that have crowds
-SHARE_QUIET_START = 0.4  # of runs, that begin so
+INITIAL_QUIET_TIME = 6.0  # seconds before the first fault, in runs with a quiet start
+EXTRA_CROWD_ENTRIES = 4  # of `crowd` in the list of faults, in runs where crowds are frequent
+SHARE_QUIET_START = 0.4  # of runs
 
 Fault = Callable[[], Coroutine[Any, Any, None]]
 
 
 def all_faults(simulation: Simulation) -> tuple[Fault, ...]:
-    """Returns what may be drawn; one that stands twice comes twice as often."""
+    """Returns the faults to draw from; a fault listed twice is drawn twice as often."""
     servers = ServerFaults(simulation)
     proxies = ProxyFaults(simulation)
     machine = MachineFaults(simulation)
@@ -50,7 +50,7 @@
 
 
 async def inject_faults(simulation: Simulation) -> None:
-    """Begins one to three troubles at a time, whatever still goes on, until nothing new begins."""
+    """Starts one to three faults at a time, without waiting for earlier ones, until the run is ending."""
     rng = simulation.rng
     faults = all_faults(simulation)
     if rng.random() < SHARE_QUIET_START:
