--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients: they open, talk, leave, come again, and some of them keep to no protocol."""
+"""Simulated clients, which send requests and use sessions; some leave early or violate the protocol."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 REQUEST_NUMBERS = count(1)
 AFFINITY_GROUPS = 40
-SHARE_LEAVING = 0.12  # of clients, that leave before their deadline
-SHARE_IN_PIECES = 0.1  # of openings, that come in two pieces
+SHARE_LEAVING = 0.12  # of clients that give up before their deadline
+SHARE_IN_PIECES = 0.1  # of OPEN lines sent in two pieces
 SHARE_LONG_SESSIONS = 0.4  # of sessions
 SHORT_SESSION = (0.2, 4.0)  # seconds
-LONG_SESSION = (6.0, 25.0)  # seconds; many last until their proxy is stopped
+LONG_SESSION = (6.0, 25.0)  # seconds; many of these last until their proxy is stopped
 CONNECT_TIMEOUT = 2.0  # seconds
-ANSWER_TIMEOUT = 4.0  # seconds after its deadline for which a client waits
+ANSWER_TIMEOUT = 4.0  # seconds a client waits beyond its deadline
 ECHO_TIMEOUT = 8.0  # seconds
 CLOSE_TIMEOUT = 5.0  # seconds
 LONG_LINE = 20000  # bytes
 
 
 class Client:
-    """One connection of one client, and its record."""
+    """A client with a single connection, and its record."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
             misbehaviour=misbehaviour,
         )
         self.group = rng.randrange(AFFINITY_GROUPS)
-        self.leaves_after = 0.0  # seconds; 0: not before its deadline
+        self.leaves_after = 0.0  # seconds; 0: doesn't leave early
         if rng.random() < SHARE_LEAVING:
             self.leaves_after = time_allowed * rng.uniform(0.02, 0.9)
         self.session_time = rng.uniform(*SHORT_SESSION)
@@ -62,7 +62,7 @@
             self.session_time = rng.uniform(*LONG_SESSION)
 
     async def run(self) -> ClientRecord:
-        """Plays the whole connection and returns its record. Raises OSError or TimeoutError."""
+        """Runs the connection from start to end and returns its record. Raises OSError or TimeoutError."""
         connecting = asyncio.open_connection(*self.proxy.address)
         reader, writer = await asyncio.wait_for(connecting, CONNECT_TIMEOUT)
         record = self.record
@@ -89,7 +89,7 @@
         return record
 
     async def send_open(self, writer: asyncio.StreamWriter) -> None:
-        """Sends the OPEN, some in two pieces."""
+        """Sends OPEN, at random in two pieces."""
         deadline_ms = round(self.record.time_allowed * 1000)
         fields = f"c={self.record.traffic_class},d={deadline_ms},g={self.group:x}"
         line = f"OPEN {self.request_id} {self.group:x} {fields}\r\n".encode()
@@ -102,7 +102,7 @@
         writer.write(line)
 
     async def read_answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Notes the final answer, or leaves when its time is over."""
+        """Records the final answer, or closes the connection if none arrives in time."""
         record = self.record
         timeout = self.leaves_after or record.time_allowed + ANSWER_TIMEOUT
         try:
@@ -125,7 +125,7 @@
                 record.answers.append((time.monotonic(), rest.decode(errors="replace")))
 
     async def run_session(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Exchanges lines with the server until its time is over or the session ends."""
+        """Exchanges lines with the server until the session time is over or the session ends."""
         record = self.record
         until = time.monotonic() + self.session_time
         while time.monotonic() < until:
@@ -148,7 +148,7 @@
             await asyncio.sleep(self.rng.uniform(0.05, 0.4))
 
     async def misbehave(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Plays what a misbehaving client does in place of a request; whether that was all."""
+        """Behaves as `misbehaviour` requires instead of making a request. Always returns True."""
         if self.misbehaviour is Misbehaviour.HALF_LINE:
             writer.write(f"OPEN {self.request_id} 7f c=feed,d=".encode())
         elif self.misbehaviour is Misbehaviour.NO_PROTOCOL:
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -1,4 +1,7 @@
-"""Discovery's agents, one beside each proxy: lists by watches that may fall silent or break."""
+"""Simulated discovery agents, one per proxy, which serve the server list over watches.
+
+Watches can be silenced or reset, and agents can be taken down.
+"""
 
 from __future__ import annotations
 
@@ -16,32 +19,32 @@
 from tests.soak.servers import Server
 
 KEEPALIVE_INTERVAL = 2.0  # seconds
-SILENCE_DETECTED_AFTER = 6.0  # seconds until what a silent watch misses counts as known to its proxy
-PIECE_SIZE = 97  # bytes
+SILENCE_DETECTED_AFTER = 6.0  # seconds in which a proxy must detect a silent watch and replace it
+PIECE_SIZE = 97  # bytes per write, when an agent writes in pieces
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-Entry = dict[str, Any]  # of one server, as discovery writes it
+Entry = dict[str, Any]  # a server in discovery's format
 
 
 @dataclass(frozen=True)
 class Delivery:
-    """From when changes count as known to an agent's proxy, and what became of them at the agent."""
+    """When an agent's proxy counts as notified of changes, and how the agent handled them."""
 
     notified_at: float
     text: str
 
 
 class Watch:
-    """One open watch, as its agent has it."""
+    """The agent's side of a watch."""
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
         self.writer = writer
         self.silent_since = inf
-        self.unsent: deque[bytes] = deque()  # chunks that are not written whole
+        self.unsent: deque[bytes] = deque()  # chunks not yet written completely
         self.unsent_since = inf
-        self.sending: asyncio.Task[None] | None = None  # asyncio itself keeps no reference to a task
+        self.sending: asyncio.Task[None] | None = None  # asyncio holds only weak references to tasks
 
     def send(self, text: str, in_pieces: bool) -> None:
-        """Writes a line as one chunk, at once or in pieces, after all that is not written yet."""
+        """Sends a line as one chunk, at once or in pieces, after any unsent chunks."""
         data = encode_chunk(text)
         if not in_pieces and not self.unsent:
             self.writer.write(data)
@@ -52,7 +55,7 @@
             self.sending = asyncio.ensure_future(self.send_pieces())
 
     async def send_pieces(self) -> None:
-        """Writes all that is not written yet, in small pieces."""
+        """Writes the unsent chunks in small pieces."""
         while self.unsent and not self.writer.is_closing():
             data = self.unsent[0]
             for at in range(0, len(data), PIECE_SIZE):
@@ -65,51 +68,51 @@
 
 
 class DiscoveryAgent:
-    """The agent of one proxy. While `is_down` it answers nobody and learns nothing."""
+    """The agent of one proxy. While it is down, it answers no calls and receives no changes."""
 
     def __init__(self, proxy: int) -> None:
         self.proxy = proxy
         self.version = 1
-        self.entries: dict[str, tuple[int, Entry]] = {}  # by server: the version of its last change, entry
-        self.watches: set[Watch] = set()  # that are open
-        self.outages = 0  # that last
+        self.entries: dict[str, tuple[int, Entry]] = {}  # version of the last change and entry, by server
+        self.watches: set[Watch] = set()  # the open ones
+        self.outages = 0  # how many are in progress; they may overlap
         self.sends_pieces = False
-        self.missed_changes: list[Entry] = []  # while it was down
+        self.missed_changes: list[Entry] = []  # changes made during an outage
         self.down_until = 0.0
-        self.unwatched_since = 0.0  # from when on no watch was open; infinite while one is
+        self.unwatched_since = 0.0  # infinite while a watch is open
         self.listener: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Listens at a port that the kernel chooses."""
+        """Listens on a port chosen by the kernel."""
         self.listener = await asyncio.start_server(self.serve, "127.0.0.1", 0, backlog=64)
 
     @property
     def address(self) -> str:
-        """Where it listens, as configurations write it."""
+        """The address of the listener, in the format of configuration files."""
         assert self.listener is not None
         host, port = self.listener.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
     @property
     def is_down(self) -> bool:
-        """Whether it answers nobody and learns nothing."""
+        """Whether an outage is in progress."""
         return self.outages > 0
 
     def load(self, servers: Iterable[Server]) -> None:
-        """Sets the list that it begins with."""
+        """Sets the initial server list."""
         self.entries = {entry["host"]: (1, entry) for entry in entries_of(servers)}
 
     def full_list(self) -> dict[str, Any]:
-        """Returns the list as a proxy's configuration has it, and as a first answer does."""
+        """Returns the complete list, in the format of the first response and of a proxy's configuration."""
         return {"seq": self.version, "whole": True, "hosts": [entry for _, entry in self.entries.values()]}
 
     def changes_since(self, version: int) -> dict[str, Any]:
-        """Returns the entries that have changed since a version."""
+        """Returns the entries changed since a version, in the format of a response."""
         entries = [entry for changed_at, entry in self.entries.values() if changed_at > version]
         return {"seq": self.version, "whole": False, "hosts": entries}
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers one call and keeps its watch alive until it breaks."""
+        """Handles one connection: sends the list, then keeps the watch alive until the proxy closes it."""
         watch = Watch(writer)
         try:
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
@@ -122,7 +125,8 @@
             self.watches.add(watch)
             self.unwatched_since = inf
             watch.send(json.dumps(answer, indent=1 if self.sends_pieces else None), self.sends_pieces)
-            # A proxy sends nothing more on a watch, but its end: also that of a watch that has fallen silent.
+            # The proxy sends nothing after its request, so a read returns only at its close. Silent watches
+            # are read as well, so that their close is noticed.
             while not await wait_for_eof(reader, KEEPALIVE_INTERVAL):
                 if watch.silent_since == inf and not self.is_down:
                     watch.send("", self.sends_pieces)
@@ -133,7 +137,10 @@
             writer.close()
 
     def remove_watch(self, watch: Watch) -> None:
-        """A watch is open no longer; what was not written whole has reached nobody."""
+        """Removes a closed watch.
+
+        If it was the last one, changes count as undelivered from now on, or from its first unsent chunk on.
+        """
         if watch in self.watches:
             self.watches.remove(watch)
             if not self.watches:
@@ -141,15 +148,15 @@
 
     @property
     def undelivered_since(self) -> float:
-        """From when on changes may not have reached its proxy; infinite if all of them have."""
+        """The time from which on changes may not have reached the proxy; infinite if all have."""
         return min(self.unwatched_since, *(watch.unsent_since for watch in self.watches), inf)
 
     def receive_changes(self, entries: Iterable[Entry]) -> Delivery:
-        """Takes up changes and sends them on."""
+        """Applies changes to the list and sends them to the watches that aren't silent."""
         now = time.monotonic()
         if self.is_down:
             self.missed_changes += entries
-            # Not known at all until the return, which may be put off by a further outage.
+            # The time of delivery is unknown yet: another outage may extend this one.
             return Delivery(inf, f"{now:.3f} missed, down until {self.down_until:.3f}")
         self.version += 1
         changed = list(entries)
@@ -169,26 +176,26 @@
         return Delivery(notified_at, f"{text}, silent since {silent_since:.3f}")
 
     def silence_watches(self) -> None:
-        """All open watches fall silent, and stay open."""
+        """Stops sending on all open watches, without closing them."""
         now = time.monotonic()
         for watch in self.watches:
             watch.silent_since = min(watch.silent_since, now)
 
     def reset_watches(self) -> None:
-        """All open watches break; none is open from this instant on."""
+        """Aborts the connections of all open watches and removes them at once."""
         for watch in list(self.watches):
             watch.writer.transport.abort()
             self.remove_watch(watch)
 
     def begin_outage(self, seconds: float) -> None:
-        """Answers nobody for so many seconds, until one `come_back` for each call."""
+        """Begins an outage expected to last that many seconds; each needs its own call of `end_outage`."""
         self.outages += 1
         self.down_until = max(self.down_until, time.monotonic() + seconds)
 
     def end_outage(self) -> list[Entry]:
-        """Serves again, unless another outage lasts; returns the changes that it had missed.
+        """Ends one outage. If no other is in progress, resets all watches and applies the missed changes.
 
-        All its watches are broken then.
+        Returns the changes that were applied.
         """
         self.outages -= 1
         if self.is_down:
@@ -202,17 +209,17 @@
 
 
 async def wait_for_eof(reader: asyncio.StreamReader, within: float) -> bool:
-    """Waits for the other side's end for so many seconds; whether it came."""
+    """Waits up to that many seconds for the peer to close; returns whether it did."""
     with suppress(TimeoutError):
         return not await asyncio.wait_for(reader.read(1), within)
     return False
 
 
 def encode_chunk(text: str) -> bytes:
-    """Returns a line as one chunk of an HTTP answer."""
+    """Returns a line as a chunk of a chunked HTTP response."""
     return b"%x\r\n%b\n\r\n" % (len(text) + 1, text.encode())
 
 
 def entries_of(servers: Iterable[Server]) -> list[Entry]:
-    """Returns the entries of servers as they are now."""
+    """Returns the current entries of servers."""
     return [server.entry() for server in servers]
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -1,4 +1,4 @@
-"""The rules, checked against what servers, clients and processes saw."""
+"""Checks the records of a run against the rules."""
 
 from __future__ import annotations
 
@@ -12,32 +12,35 @@
 
 from tests.soak.records import Attempt, ClientRecord, NotifiedChange, ProcessRun, Records
 
-SLACK = 0.05  # seconds that each time limit is longer on sockets
-LOST_AFTER = 0.5  # seconds after its time from which an answer counts as lost
-ATTEMPT_AFTER_LEAVING_WITHIN = 0.1  # seconds after a client has left in which an attempt may begin
-END_FORWARDED_WITHIN = 1.0  # seconds from a server's end of a session to the client's
-RESET_AFTER = 0.2  # seconds until a process that was told so lets its reads succeed again
-KILL_SEEN_WITHIN = 0.1  # seconds after a kill in which clients see its connections end
-# Seconds; a watch may break just before discovery becomes unreachable, and is opened anew after it.
+SLACK = 0.05  # seconds added to each time limit for the latency of sockets
+LOST_AFTER = 0.5  # seconds past the deadline from which an answer counts as lost
+ATTEMPT_AFTER_LEAVING_WITHIN = 0.1  # seconds in which an attempt may still begin after its client has left
+END_FORWARDED_WITHIN = 1.0  # seconds in which the end of a session by the server must reach the client
+RESET_AFTER = 0.2  # seconds in which reads may still fail after a new fault plan has ended their failures
+KILL_SEEN_WITHIN = 0.1  # seconds in which clients see their connections end after a kill
+# Seconds. A watch may break shortly before discovery becomes unreachable, and is reopened some time after.
 UNREACHABLE_BEFORE = 1.0
 UNREACHABLE_AFTER = 0.5
-OVERLAP_LAG_WINDOW = 1.0  # seconds after the next attempt in which this process may have been late
-NOTIFIED_SHARE = 2 / 3  # of the attempts that push a server over, from which on the rule is broken
+OVERLAP_LAG_WINDOW = 1.0  # seconds after the next attempt in which lag of the simulating process counts
+NOTIFIED_SHARE = 2 / 3  # of the attempts in an overloaded window; the rule is violated above this share
 MICRO = 1e6
 FAULT_LINE = re.compile(r"fault |Traceback|violation of|; keep the log")
-EXTRA_DESCRIPTORS = 2  # that may be seen above the limit
+EXTRA_DESCRIPTORS = 2  # by which an observation may exceed the limit
 
 
 @dataclass(frozen=True)
 class Violation:
-    """One rule that was broken, and by what."""
+    """A violated rule, and the event that violates it."""
 
     rule: str
     details: str
 
 
 class RecordChecker:
-    """Judges one run. `settings` as the proxies were given them, `rate` of all requests a second."""
+    """Checks one run.
+
+    `settings` are those of the proxies; `rate` is in requests per second over all proxies.
+    """
 
     def __init__(self, records: Records, settings: dict[str, Any], rate: float, servers: int) -> None:
         self.records = records
@@ -53,7 +56,7 @@
         self.violations: list[Violation] = []
 
     def check_all(self) -> list[Violation]:
-        """Returns every breach of a rule."""
+        """Returns all violations."""
         for client in self.records.clients:
             self.check_answer(client)
             self.check_idempotency(client)
@@ -67,28 +70,30 @@
         return self.violations
 
     def report(self, rule: str, details: str) -> None:
-        """Notes a breach."""
+        """Adds a violation."""
         self.violations.append(Violation(rule, details))
 
-    # What is allowed for: the machine was late, or a fault that was played.
+    # Allowances for a slow machine and for injected faults.
 
     def checker_lag(self, begin: float, end: float) -> float:
-        """Returns by how many seconds this process was late itself in that time."""
+        """Returns by how many seconds the simulating process was late in that span."""
         return sum(late for at, late in self.records.lags if begin - late <= at <= end)
 
     def time_suspended(self, process: ProcessRun, begin: float, end: float) -> float:
-        """Returns for how many seconds a process was not run in that time."""
+        """Returns the total length in seconds of a process's suspensions that overlap that span."""
         return sum(until - since for since, until in process.suspensions if since < end and until > begin)
 
     @staticmethod
     def connections_were_reset(process: ProcessRun, at: float) -> bool:
-        """Whether connections of the proxy broke around that time, by a fault that was played."""
+        """Whether an injected fault broke the process's connections around that time."""
         return any(since <= at <= until + RESET_AFTER for since, until in process.reset_spans)
 
     def was_killed(self, client: ClientRecord, until: float) -> bool:
-        """Whether a process of its proxy was killed meanwhile; upgrades carry requests to newer ones.
+        """Whether a process of the client's proxy was killed between OPEN and `until`.
 
-        A kill that ends a planned stop excuses nothing: what is still held then is lost.
+        All processes of the proxy count, as an upgrade hands requests over to a newer process. A kill at
+        the end of a planned stop doesn't count: requests and sessions still open at that time are lost by
+        the proxy's own fault.
         """
         runs = [
             run
@@ -98,13 +103,13 @@
         return any(run.killed_at < until and run.ended_at > client.sent_at - RESET_AFTER for run in runs)
 
     def process_of(self, client: ClientRecord) -> ProcessRun:
-        """Returns the process that was the proxy's newest as the client connected."""
+        """Returns the proxy's newest process at the time when the client connected."""
         return self.processes[client.proxy, client.run_number]
 
     # Clients.
 
     def check_answer(self, client: ClientRecord) -> None:
-        """Each request gets one final answer, in time."""
+        """Checks that a request gets exactly one final answer, in time."""
         process = self.process_of(client)
         if client.sent_at == inf or client.misbehaviour is not None:
             return
@@ -121,7 +126,7 @@
             self.check_end_without_answer(client, process)
 
     def check_answer_time(self, client: ClientRecord, process: ProcessRun, deadline: float) -> None:
-        """An answer that came is not too late."""
+        """Checks that the answer came before it counts as lost."""
         at = client.answers[0][0]
         allowance = SLACK + self.checker_lag(client.sent_at, at)
         late = at - deadline - allowance - self.time_suspended(process, client.sent_at, at)
@@ -130,29 +135,31 @@
             self.report("answer in time", details)
 
     def check_left_without_answer(self, client: ClientRecord, process: ProcessRun, deadline: float) -> None:
-        """A client that left without an answer did so before it was due."""
+        """Checks that a client that left without an answer did so before the answer counts as lost."""
         late = client.left_at - deadline - LOST_AFTER - self.checker_lag(client.sent_at, client.left_at)
         if late > self.time_suspended(process, client.sent_at, client.left_at) + SLACK:
-            details = f"{client.request_id} {client.traffic_class} had none, at n{client.proxy}"
+            details = f"{client.request_id} {client.traffic_class} had no answer, at n{client.proxy}"
             self.report("answer", details)
 
     def check_end_without_answer(self, client: ClientRecord, process: ProcessRun) -> None:
-        """No connection is ended by the proxy without an answer."""
+        """Reports a connection that the proxy ended without an answer."""
         if self.connections_were_reset(process, client.ended_at):
             return
-        # While idle clients fill the descriptors, new connections may be shut unread.
+        # While idle clients exhaust the descriptors, new connections may be closed unread.
         if any(since <= client.ended_at <= until + RESET_AFTER for since, until in process.crowded_spans):
             return
         how = "reset" if client.was_reset else "ended"
         when = f"sent at {client.sent_at:.3f}, ended at {client.ended_at:.3f}"
-        details = f"{client.request_id} {client.traffic_class} {how} with none, at n{client.proxy}, {when}"
+        details = (
+            f"{client.request_id} {client.traffic_class} {how} without an answer, at n{client.proxy}, {when}"
+        )
         self.report("answer", details)
 
     def check_idempotency(self, client: ClientRecord) -> None:
-        """One attempt is out at a time; what may have run is repeated only where its class allows it."""
+        """Checks that attempts don't overlap, and that the traffic class allows any repetition."""
         attempts = self.attempts[client.request_id]
         for earlier, later in pairwise(attempts):
-            # Late itself, this process sees the end of the earlier one late, after the next one has come.
+            # When this process lags, it may see the end of the earlier attempt only after the later OPEN.
             lag = self.checker_lag(
                 earlier.received_at, min(earlier.ended_at, later.received_at + OVERLAP_LAG_WINDOW)
             )
@@ -170,7 +177,7 @@
             self.check_deduplicated(client, attempts, ran[0])
 
     def check_not_repeated(self, client: ClientRecord, attempts: list[Attempt], first: Attempt) -> None:
-        """What is not idempotent is neither repeated nor rejected once it may have run."""
+        """Checks that a non-idempotent request is neither repeated nor rejected once it may have run."""
         for later in attempts:
             if later.received_at > first.received_at:
                 details = f"{client.request_id} again at {later.server} after {first}"
@@ -179,7 +186,7 @@
             self.report("no effect twice", f"{client.request_id} rejected after {first}")
 
     def check_deduplicated(self, client: ClientRecord, attempts: list[Attempt], first: Attempt) -> None:
-        """A request that servers deduplicate is repeated only within their window and group."""
+        """Checks that a deduplicated request is repeated only within the deduplication window and scope."""
         traffic_class = self.traffic_classes[client.traffic_class]
         zones = self.records.server_zones
         for later in attempts:
@@ -196,7 +203,9 @@
             self.report("no effect twice", f"{client.request_id} rejected after {first}")
 
     def check_session(self, client: ClientRecord) -> None:
-        """UP is of the server that is named; a session ends politely and soon after its server's end."""
+        """Checks that UP names the server of the last attempt, that the proxy doesn't cut the session off
+        without MOVE, and that an end of the session by the server is forwarded in time.
+        """
         process = self.process_of(client)
         if not client.is_established or client.misbehaviour is not None:
             return
@@ -219,7 +228,7 @@
     # Attempts.
 
     def check_drain(self, attempt: Attempt) -> None:
-        """A server that is not ready gets no attempt once the grace is over."""
+        """Checks that a server that isn't ready gets no attempts after the drain grace."""
         client = self.clients.get(attempt.request_id)
         if client is None:
             return
@@ -233,7 +242,7 @@
                     self.report("drain", self.drain_details(attempt, change, since, late))
 
     def drain_details(self, attempt: Attempt, change: NotifiedChange, since: float, late: float) -> str:
-        """Returns what the agent, the server and the proxy noted of an attempt that came too late."""
+        """Returns the records of the agent and the server on a late attempt, and the proxy's log lines."""
         process = self.process_of(self.clients[attempt.request_id])
         grace = self.settings["rules"]["stop_sending_within_us"] / MICRO
         parts = [
@@ -248,14 +257,14 @@
 
     @staticmethod
     def effective_notification_time(process: ProcessRun, at: float) -> float:
-        """Returns from when a change counts as known: without any socket discovery cannot be called."""
+        """Returns when the proxy counts as notified: later if it couldn't connect to discovery then."""
         for since, until in process.unreachable_spans:
             if since - UNREACHABLE_BEFORE <= at <= until:
                 return max(at, until + UNREACHABLE_AFTER)
         return at
 
     def check_client_left(self, attempt: Attempt) -> None:
-        """No attempt begins for a client that has left."""
+        """Checks that no attempt begins after its client has left."""
         client = self.clients.get(attempt.request_id)
         if client is None or client.left_at == inf:
             return
@@ -263,11 +272,11 @@
         late = attempt.received_at - client.left_at - ATTEMPT_AFTER_LEAVING_WITHIN - SLACK
         late -= self.checker_lag(client.left_at, attempt.received_at)
         if late > self.time_suspended(process, client.left_at, attempt.received_at):
-            details = f"{attempt.request_id} begun {late:.3f} s too late at {attempt.server}"
+            details = f"{attempt.request_id} began {late:.3f} s too late at {attempt.server}"
             self.report("client left", details)
 
     def check_slow_start(self) -> None:
-        """No server in slow start gets more than it bears."""
+        """Checks that no server in slow start gets more attempts than its capacity allows."""
         for server, started in self.records.server_starts.items():
             received = [
                 attempt
@@ -278,9 +287,10 @@
             self.check_one_slow_start(server, started, received)
 
     def check_one_slow_start(self, server: str, started: float, received: list[Attempt]) -> None:
-        """Compares each window of attempts with what the server bears by then.
+        """Compares the attempts in each window with the server's capacity at that point of its slow start.
 
-        The first window over it is a breach if over two thirds came of proxies notified of the start.
+        The first window that exceeds the capacity is a violation if more than two thirds of its attempts
+        came from proxies notified of the start.
         """
         rules = self.settings["rules"]
         window = rules["fall_us"] / MICRO
@@ -293,18 +303,19 @@
             count = len(in_window)
             ability = 1 - (1 - rules["cold_from"]) * (1 - (at - started) / ramp)
             most = rules["overload_factor"] * (self.rate / self.servers) * ability * window
-            most += (3 if most < 30 else 2) * sqrt(most) + (3 if most < 30 else 2)  # chance
+            most += (3 if most < 30 else 2) * sqrt(most) + (3 if most < 30 else 2)  # for random variation
             if count > most:
                 notified = sum(self.was_notified_of_start(attempt, started) for attempt in in_window)
                 if notified > NOTIFIED_SHARE * count:
-                    details = f"{server} had {count} in {window} s, {most:.1f} are its most"
-                    self.report("slow start", f"{details}; {notified} of proxies that knew of its start")
+                    details = f"{server} had {count} in {window} s, {most:.1f} allowed"
+                    self.report("slow start", f"{details}; {notified} from proxies notified of its start")
                 break
 
     def was_notified_of_start(self, attempt: Attempt, started: float) -> bool:
         """Whether the attempt's proxy counts as notified of the server's start.
 
-        Unknown ones do, and so does a process that has begun since, from the list of its start.
+        A process that started later counts too, as its initial list includes the server, and so does the
+        unknown proxy of an attempt without a recorded client.
         """
         client = self.clients.get(attempt.request_id)
         if client is None or self.process_of(client).started_at >= started:
@@ -320,7 +331,9 @@
     # Processes.
 
     def check_process(self, process: ProcessRun) -> None:
-        """A process logs no fault of its own, ends when asked, not before, and keeps to its descriptors."""
+        """Checks that a process logs no internal fault, doesn't crash or exit without a request to stop, and
+        keeps its descriptor limit.
+        """
         name = f"n{process.proxy} of {process.log_path}"
         log = Path(process.log_path).read_text(errors="replace")
         for line in log.splitlines():
@@ -336,13 +349,13 @@
 
 
 def log_lines_about(process: ProcessRun, *texts: str) -> list[str]:
-    """Returns the lines of a process's log that hold any of the texts."""
+    """Returns the lines of a process's log that contain any of the texts."""
     log = Path(process.log_path).read_text(errors="replace")
     return [line for line in log.splitlines() if any(text in line for text in texts)]
 
 
 def index_processes(processes: list[ProcessRun]) -> dict[tuple[int, int], ProcessRun]:
-    """Returns each process by its proxy and how many of that proxy were started before it."""
+    """Returns the processes by proxy number and by the number of the proxy's earlier processes."""
     found: dict[tuple[int, int], ProcessRun] = {}
     for process in processes:
         earlier = [
--- a/tests/soak/machine_troubles.py
+++ b/tests/soak/machine_troubles.py
@@ -69,7 +69,7 @@
                 change.delivery += f", possibly undelivered, down until {agent.down_until:.3f}"
 
     async def fail_system_calls(self) -> None:
-        """Makes a share of one system call fail in a third of the proxies, sometimes with short I/O as well."""
+        """Makes a share of one system call fail in a third of the proxies, sometimes with short I/O too."""
         proxies = self.simulation.proxies
         affected = self.rng.sample(proxies, max(1, len(proxies) // 3))
         call, errors = self.rng.choice(SYSTEM_CALLS)
--- a/tests/soak/proxies.py
+++ b/tests/soak/proxies.py
@@ -1,4 +1,4 @@
-"""The proxies: real processes, with their configuration, their signals and the faults loaded ahead."""
+"""Runs proxies as real processes: their configuration, signals and fault plans."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from tests.soak.discovery import DiscoveryAgent
 from tests.soak.records import ProcessRun, Records, Span
 
-# Each line of a log begins with the time of the records, whatever the wall clock says.
+# Prefixes each log line with the monotonic time that the records use; the wall clock is stepped by faults.
 MONOTONIC_LOG_PATCH = override(
     "brambleplank.net.log:LogWriter.print_line",
     "staticmethod(lambda line: print(f'{time.monotonic():.3f} {line}', file=sys.stderr, flush=True))",
 )
 BOOTSTRAP_CODE = "{patch}\nimport runpy\nrunpy.run_module('brambleplank', run_name='__main__')"
-# As `run` in the deploy file: in Python's first instants SIGHUP would end the process.
+# As in `run` of deploy/balancer.toml: SIGHUP would end Python before its handler is installed.
 SHELL_COMMAND = "trap '' HUP; exec \"$@\""
-ROTATION_DELAY = 0.3  # seconds after SIGTERM in which clients still come
+ROTATION_DELAY = 0.3  # seconds after SIGTERM in which new clients still connect
 
 
 class Proxy:
-    """One proxy of the tier, over its processes."""
+    """A proxy of the tier, with all the processes that run it one after another."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         records: Records,
         patch: str = "",
     ) -> None:
-        """`patch` is code that each process runs ahead of the program."""
+        """`patch` is code that each process runs before the program."""
         self.number = number
         self.folder = folder
         self.address = address
@@ -54,7 +54,7 @@
         self.config: dict[str, Any] = {}
         self.process: subprocess.Popen[bytes] | None = None
         self.runs: list[ProcessRun] = []
-        # Processes that hand over to a newer one.
+        # Processes replaced by an upgrade, which hand over to a newer one.
         self.predecessors: list[tuple[subprocess.Popen[bytes], ProcessRun]] = []
         self.is_upgrading = False
         self.is_in_rotation = False  # whether new clients are sent to it
@@ -67,11 +67,11 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the newest process has not been seen to end."""
+        """Whether the newest process hasn't been observed to exit."""
         return self.current_run.ended_at == inf
 
     def configure(self, **changes: Any) -> None:
-        """Writes its configuration as a whole."""
+        """Updates the configuration and writes the file atomically."""
         self.config.update(changes)
         path = self.folder / "config.json"
         new = path.with_suffix(".new")
@@ -79,7 +79,7 @@
         new.replace(path)
 
     def start(self) -> None:
-        """Starts a process, which becomes the newest."""
+        """Starts a new process."""
         known = self.agent.full_list()
         self.configure(discovery=self.agent.address, known=known, seed=os.urandom(4).hex())
         self.faults.write(self.fault_plan)
@@ -103,7 +103,7 @@
         self.leaves_rotation_at = inf
 
     def send_signal(self, number: int) -> bool:
-        """Whether the newest process runs and so gets the signal."""
+        """Signals the newest process; returns False if it isn't running."""
         if self.process is None or self.process.poll() is not None:
             return False
         with suppress(ProcessLookupError):
@@ -111,7 +111,7 @@
         return True
 
     def request_stop(self) -> None:
-        """Asks the newest process to stop, as the platform does."""
+        """Requests a graceful shutdown of the newest process by SIGTERM, as the platform does."""
         if self.send_signal(signal.SIGTERM):
             self.current_run.stop_requested_at = time.monotonic()
             self.leaves_rotation_at = time.monotonic() + ROTATION_DELAY
@@ -123,17 +123,17 @@
             self.is_in_rotation = False
 
     def apply_fault_plan(self, **plan: Any) -> None:
-        """Sets the machine's faults from now on; the process reads them at SIGUSR1."""
+        """Replaces the fault plan and has the newest process read it, by SIGUSR1."""
         self.fault_plan = plan
         self.faults.write(plan)
         run = self.current_run
         if run.stop_requested_at < inf:
-            return  # at its end Python gives SIGUSR1 its default action back: it goes on by the old plan
+            return  # a Python process that exits resets SIGUSR1 to its default action, which would kill it
         self.record_fault_spans(time.monotonic())
         self.send_signal(signal.SIGUSR1)
 
     def record_fault_spans(self, now: float) -> None:
-        """Notes that the newest process is under the fault plan from now on."""
+        """Opens or closes the spans of the newest process that follow from the current fault plan."""
         failing = self.fault_plan.get("fail", {})
         shares = [share for call, (share, _) in failing.items() if call in ("socket", "connect")]
         run = self.current_run
@@ -141,15 +141,15 @@
         update_span(run.reset_spans, now, lasts="recv" in failing)
 
     def upgrade(self) -> None:
-        """Starts the next process beside this one, which goes on until `signal_predecessors`."""
+        """Starts a new process; the current one runs on until `signal_predecessors`."""
         assert self.process is not None
         self.predecessors.append((self.process, self.current_run))
         was_in_rotation = self.is_in_rotation
         self.start()
-        self.is_in_rotation = was_in_rotation  # there is one queue of clients, whoever accepts
+        self.is_in_rotation = was_in_rotation  # both processes accept from the same listen queue
 
     def signal_predecessors(self, number: int) -> None:
-        """Sends SIGTERM or SIGKILL to each process that hands over."""
+        """Sends SIGTERM or SIGKILL to each predecessor that still runs."""
         for process, run in self.predecessors:
             if run.ended_at == inf:
                 with suppress(ProcessLookupError):
@@ -160,7 +160,7 @@
                     run.killed_at = time.monotonic()
 
     def observe(self) -> None:
-        """Notes which processes have ended, and how many descriptors the newest holds."""
+        """Records which processes have exited, and the newest one's peak number of open descriptors."""
         for process, run in self.predecessors:
             record_end(process, run)
         if self.process is None or not self.is_running:
@@ -174,7 +174,7 @@
 
 
 def update_span(spans: list[Span], now: float, lasts: bool) -> None:
-    """Begins a span, goes on with the one that lasts, or ends it."""
+    """Opens a span if the condition lasts and none is open, or closes the open one if it doesn't."""
     is_open = bool(spans) and spans[-1][1] == inf
     if lasts and not is_open:
         spans.append((now, inf))
@@ -183,7 +183,7 @@
 
 
 def record_end(process: subprocess.Popen[bytes], run: ProcessRun) -> bool:
-    """Notes the end of a process; whether it is seen only now."""
+    """Records the exit of a process. Returns True only when the exit is first observed."""
     if run.ended_at < inf:
         return False
     code = process.poll()
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -1,4 +1,4 @@
-"""Stand-in servers that answer, hang, fail, reset and drain as they are told, and note each whole OPEN."""
+"""Simulated servers, which record each complete OPEN and answer, hang, fail, reset or drain on request."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 from tests.soak.records import Attempt, Records
 
-POLL_INTERVAL = 0.005  # seconds between two looks whether an attempt was given up
-MEAN_DELAY = 0.004  # seconds to an answer
+POLL_INTERVAL = 0.005  # seconds between checks whether the proxy has given up an attempt
+MEAN_DELAY = 0.004  # seconds before an answer
 SLOW_DELAYS = (0.25, 0.8)  # seconds
 SLOW_PROBE_DELAY = 0.1  # seconds
-SHARE_ENDING_LINES = 0.02  # of a session's lines, after which the server ends it
+SHARE_ENDING_LINES = 0.02  # of a session's lines; after each of these the server ends the session
 BACKLOG = 1024
 MALFORMED_ANSWERS = (b"UP\r\n", b"\xff\xfe\r\n", b"UP " + b"x" * 5000, b"HELLO there\r\n", b"U")
 
@@ -38,7 +38,7 @@
 
 
 class Server:
-    """One server at a port of its own."""
+    """One server, listening on its own port."""
 
     def __init__(self, name: str, zone: str, records: Records, rng: Random) -> None:
         self.name = name
@@ -46,26 +46,28 @@
         self.records = records
         self.rng = rng
         self.behaviour = ServerBehaviour.UP
-        self.is_silent = False  # established sessions get no line back either
+        self.is_silent = False  # whether it doesn't echo the lines of established sessions
         self.health = "ready"
         self.born_ms = 0
-        self.open_connections: dict[asyncio.StreamWriter, str] = {}  # with the request of an established one
+        self.open_connections: dict[
+            asyncio.StreamWriter, str
+        ] = {}  # value: request ID of an established session, or ""
         self.listener: asyncio.Server | None = None
         self.port = 0
         records.server_zones[name] = zone
 
     async def listen(self) -> None:
-        """Listens, after the first time at the same port. Raises OSError if that was taken."""
+        """Listens; a restart reuses the port of the first start. Raises OSError if that port is taken."""
         self.listener = await asyncio.start_server(self.serve, "127.0.0.1", self.port, backlog=BACKLOG)
         self.port = self.listener.sockets[0].getsockname()[1]
 
     def record_start(self) -> None:
-        """Notes that its process has started now, on the wall clock and in the records."""
+        """Sets the start time that discovery publishes, and records the start."""
         self.born_ms = round(time.time() * 1000)
         self.records.server_starts[self.name] = time.monotonic()
 
     def entry(self) -> dict[str, object]:
-        """Returns its entry as discovery writes it."""
+        """Returns its entry in discovery's format."""
         return {
             "host": self.name,
             "dial": f"127.0.0.1:{self.port}",
@@ -78,7 +80,7 @@
         }
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Reads the first line of a connection and answers it."""
+        """Handles one connection, whose first line is OPEN or PING."""
         self.open_connections[writer] = ""
         attempt = None
         try:
@@ -102,7 +104,7 @@
             writer.close()
 
     async def answer_probes(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers one probe after another."""
+        """Answers the probes of one connection."""
         while True:
             is_slow = self.behaviour is ServerBehaviour.SLOW
             await asyncio.sleep(SLOW_PROBE_DELAY if is_slow else MEAN_DELAY)
@@ -113,11 +115,11 @@
     async def answer(
         self, attempt: Attempt, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answers an OPEN as the server behaves at that instant."""
+        """Answers OPEN according to the server's behaviour at the time it arrives."""
         behaviour = self.behaviour
         if behaviour is ServerBehaviour.HANG:
             attempt.answer = "nothing"
-            await reader.read()  # until the proxy gives it up
+            await reader.read()  # until the proxy closes the connection
             return
         if behaviour is ServerBehaviour.SLOW:
             delay = self.rng.uniform(*SLOW_DELAYS)
@@ -137,7 +139,7 @@
 
     @staticmethod
     async def is_abandoned(reader: asyncio.StreamReader, delay: float) -> bool:
-        """Waits for so many seconds; whether the proxy closes the connection meanwhile."""
+        """Waits that many seconds. Returns True early if the proxy closes the connection meanwhile."""
         due = time.monotonic() + delay
         while (left := due - time.monotonic()) > 0:
             await asyncio.sleep(min(left, POLL_INTERVAL))
@@ -152,7 +154,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Answers as a full, failing or broken server does."""
+        """Answers as an overloaded, failing or broken server would."""
         if behaviour is ServerBehaviour.BUSY:
             attempt.answer = "BUSY"
             writer.write(b"BUSY\r\n")
@@ -179,7 +181,7 @@
     async def run_session(
         self, attempt: Attempt, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Sends each line of an established session back; now and then ends the session."""
+        """Echoes the lines of an established session; ends the session with BYE after a random line."""
         while line := await reader.readline():
             if not line.endswith(b"\n"):
                 return
@@ -192,7 +194,7 @@
 
     @staticmethod
     def reset(writer: asyncio.StreamWriter) -> None:
-        """Resets a connection."""
+        """Closes a connection with RST."""
         connected = writer.get_extra_info("socket")
         if connected is not None:
             with suppress(OSError):
@@ -200,7 +202,7 @@
         writer.close()
 
     def reset_some(self, share: float) -> None:
-        """Resets a share of its open connections, by chance."""
+        """Resets each open connection with the probability `share`."""
         for writer, request_id in list(self.open_connections.items()):
             if self.rng.random() < share:
                 if request_id:
@@ -208,7 +210,7 @@
                 self.reset(writer)
 
     def finish_drain(self) -> None:
-        """Ends a drain: sessions are asked to move, and nobody listens."""
+        """Ends a drain: stops listening, sends MOVE to all sessions and closes all connections."""
         if self.listener is not None:
             self.listener.close()
         for writer, request_id in list(self.open_connections.items()):
@@ -219,7 +221,7 @@
             writer.close()
 
     def kill(self) -> None:
-        """Behaves as if its process had died."""
+        """Simulates the death of its process."""
         if self.listener is not None:
             self.listener.close()
-        self.reset_some(1.1)
+        self.reset_some(1.1)  # above 1: all connections
--- a/tests/soak/simulation.py
+++ b/tests/soak/simulation.py
@@ -1,4 +1,4 @@
-"""One run: servers, agents, proxies and clients, and the troubles that its seed draws to overlap."""
+"""Runs the servers, discovery agents, proxies and clients of one seed, with the faults injected meanwhile."""
 
 from __future__ import annotations
 
@@ -25,46 +25,49 @@
 from tests.soak.servers import Server
 
 READY_TIMEOUT = 30.0  # seconds
-MAX_STOP_DEADLINE = 3.0  # seconds; that the platform waits for at most, from SIGTERM on
-KILL_AFTER_DEADLINE = 0.7  # seconds more, after which SIGKILL comes
+MAX_STOP_DEADLINE = 3.0  # seconds; the platform waits no longer for deadlines after SIGTERM
+KILL_AFTER_DEADLINE = 0.7  # seconds between the end of that wait and SIGKILL
 PROBE_TIMEOUT = 1.0  # seconds
-TASKS_END_TIMEOUT = 12.0  # seconds in which clients end once nothing new begins
-FAULTS_END_TIMEOUT = 8.0  # seconds
-MAX_SIGNALS_BEFORE_STOP = 3  # SIGHUP before SIGTERM
-MAX_SIGNALS_AFTER_STOP = 4  # SIGHUP or SIGTERM after it
-MAX_SIGNAL_PAUSE = 0.3  # seconds between two of them, at most
+TASKS_END_TIMEOUT = 12.0  # seconds for clients to finish after all proxies have stopped
+FAULTS_END_TIMEOUT = 8.0  # seconds for injected faults to finish when the run is ending
+MAX_SIGNALS_BEFORE_STOP = 3  # SIGHUP
+MAX_SIGNALS_AFTER_STOP = 4  # SIGHUP or SIGTERM
+MAX_SIGNAL_PAUSE = 0.3  # seconds
 LAG_SAMPLE_INTERVAL = 0.02  # seconds
 MIN_RECORDED_LAG = 0.04  # seconds
-DESCRIPTOR_LIMIT = 16384  # that this process asks for
+DESCRIPTOR_LIMIT = 16384  # of this process
 SUBNETS = 250
 LOCK_HOST = 254
 LOCK_PORT = 4999
 ZONES = ("a", "b")
 SHARE_SHORT_DEADLINE = 0.1  # of requests
 SHARE_MISBEHAVING = 0.05  # of clients
-SHARE_RUNS_WITH_CROWDS = 0.3  # of runs, in which crowds of idle clients are frequent
+SHARE_RUNS_WITH_CROWDS = 0.3  # of runs in which crowds of idle clients are frequent
 SHARE_LATE_NOTIFICATION = 0.1  # of changes, at each agent
 LATE_NOTIFICATION = (0.05, 0.8)  # seconds
 
 
 @dataclass(frozen=True)
 class SimulationPlan:
-    """What one run plays. `patch` is code that each proxy's process runs ahead of the program."""
+    """Parameters of one run. `patch` is code that each proxy process runs before the program."""
 
     seed: int
     folder: Path
     proxies: int
     servers: int
     seconds: float
-    rate: float  # requests a second, over all proxies
+    rate: float  # requests per second over all proxies
     patch: str = ""
 
 
 class Subnet:
-    """A part of the loopback addresses that no other run uses while this one is played."""
+    """A loopback subnet that is reserved for this run among concurrent runs on the machine.
+
+    The reservation is a socket listening on a fixed address of the subnet.
+    """
 
     def __init__(self, preferred: int) -> None:
-        """Takes the next free one, beginning with the one that is preferred."""
+        """Reserves the preferred subnet, or the next one that is free. Raises RuntimeError if none is."""
         for step in range(SUBNETS):
             self.number = 1 + (preferred + step) % SUBNETS
             try:
@@ -72,15 +75,15 @@
                 return
             except OSError:
                 continue
-        raise RuntimeError("too many runs beside each other")
+        raise RuntimeError(f"all {SUBNETS} loopback subnets are in use by concurrent runs")
 
     def close(self) -> None:
-        """Leaves it to other runs."""
+        """Releases the subnet."""
         self._lock.close()
 
 
 class Simulation:
-    """Plays servers, discovery and clients before real processes, and notes what each saw."""
+    """Simulates servers, discovery and clients around real proxy processes, and records what they observe."""
 
     def __init__(self, plan: SimulationPlan) -> None:
         self.plan = plan
@@ -88,7 +91,7 @@
         self.subnet = Subnet(zlib.crc32(str(plan.folder).encode()))
         self.records = Records()
         self.settings = draw_settings(self.rng, plan.proxies)
-        # A generator of its own: drawn from the other one, it would change what the seeds play.
+        # Uses its own generator: a draw from `self.rng` would change the faults that existing seeds produce.
         self.has_crowds = Random(f"crowds {plan.seed}").random() < SHARE_RUNS_WITH_CROWDS
         self.servers = [self.new_server(ZONES[n % 2]) for n in range(plan.servers)]
         self.agents = [DiscoveryAgent(n) for n in range(plan.proxies)]
@@ -96,23 +99,23 @@
         self.proxies: list[Proxy] = []
         self.tasks: set[asyncio.Task[Any]] = set()
         self.fault_tasks: set[asyncio.Task[Any]] = set()
-        self.is_ending = False  # whether nothing new begins
+        self.is_ending = False  # no new clients and faults are started
 
     @property
     def kill_after(self) -> float:
-        """Seconds from SIGTERM to SIGKILL, at the earliest that the platform allows itself."""
+        """The shortest time in seconds that the platform may leave between SIGTERM and SIGKILL."""
         longest: float = max(each["deadline_us"] for each in self.settings["service_types"]) / 1e6
         return min(MAX_STOP_DEADLINE, longest) + KILL_AFTER_DEADLINE
 
     # Start.
 
     def new_server(self, zone: str) -> Server:
-        """Returns another server, which does not listen yet."""
+        """Returns a new server, which isn't listening yet."""
         name = f"s{len(self.records.server_zones)}"
         return Server(name, zone, self.records, Random(self.rng.random()))
 
     async def start(self) -> None:
-        """Starts servers, agents and proxies, and waits until the proxies serve."""
+        """Starts servers, agents and proxies, and waits until the proxies are ready."""
         _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (min(DESCRIPTOR_LIMIT, hard), hard))
         for server in self.servers:
@@ -128,7 +131,7 @@
         await asyncio.gather(*(self.wait_until_ready(proxy) for proxy in self.proxies))
 
     def new_proxy(self, number: int, agent: DiscoveryAgent, has_upgrades: bool) -> Proxy:
-        """Returns a proxy with its configuration, which does not run yet."""
+        """Returns a configured proxy, which isn't started yet."""
         peers, peers_all = self.relay.peer_addresses(number)
         address = f"127.{20 + number // 200}.{self.subnet.number}.{1 + number % 200}", 5000
         folder = self.plan.folder / f"p{number}"
@@ -147,7 +150,7 @@
         return proxy
 
     async def wait_until_ready(self, proxy: Proxy) -> None:
-        """Sends a proxy clients once its newest process has answered PONG."""
+        """Probes a proxy's newest process until it answers PONG, then adds the proxy to the rotation."""
         run = proxy.current_run
         until = time.monotonic() + READY_TIMEOUT
         while time.monotonic() < until and proxy.current_run is run and run.ended_at == inf:
@@ -164,7 +167,7 @@
             await asyncio.sleep(0.05)
 
     async def wait_for_end(self, proxy: Proxy, within: float) -> None:
-        """Waits for the end of a proxy's newest process; kills it if it takes longer."""
+        """Waits for the exit of a proxy's newest process; kills the process after `within` seconds."""
         until = time.monotonic() + within
         while proxy.is_running and time.monotonic() < until:
             await asyncio.sleep(0.02)
@@ -176,9 +179,10 @@
                 proxy.observe()
 
     async def stop(self, proxy: Proxy) -> None:
-        """Stops a proxy as planned, by signals in series; kills its process at the platform's earliest.
+        """Stops a proxy gracefully, with further signals around SIGTERM, and kills its process `kill_after`
+        seconds after SIGTERM.
 
-        One that does not serve yet is waited for: in Python's first instants SIGTERM ends any process.
+        Waits for a process that isn't ready yet: SIGTERM ends Python before its handler is installed.
         """
         if proxy.current_run.ready_at == inf:
             await self.wait_until_ready(proxy)
@@ -196,19 +200,19 @@
     # Clients.
 
     def spawn_task(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Plays something beside all else; the run waits for its end."""
+        """Starts a task that the run waits for at its end."""
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def spawn_fault(self, fault: Coroutine[Any, Any, None]) -> None:
-        """Begins a trouble beside all else; the proxies are stopped once it is over."""
+        """Starts a fault as a task that the run waits for before it stops the proxies."""
         task = asyncio.ensure_future(fault)
         self.fault_tasks.add(task)
         task.add_done_callback(self.fault_tasks.discard)
 
     def choose_proxy(self) -> Proxy | None:
-        """Returns one that is in rotation."""
+        """Draws a proxy from the rotation. Returns None if there is none."""
         now = time.monotonic()
         in_rotation = [
             proxy for proxy in self.proxies if proxy.is_in_rotation and now < proxy.leaves_rotation_at
@@ -216,7 +220,7 @@
         return self.rng.choice(in_rotation) if in_rotation else None
 
     async def run_client(self, is_retry: bool = False) -> None:
-        """Plays one client, and the same again if it is migrated or rejected."""
+        """Runs a client; if it is migrated or, on its first try, rejected, starts another one afterwards."""
         proxy = self.choose_proxy()
         if proxy is None:
             return
@@ -239,7 +243,7 @@
                 self.spawn_task(self.run_client(is_retry=True))
 
     async def generate_arrivals(self) -> None:
-        """Lets clients come at random until nothing new begins."""
+        """Starts clients at random intervals (a Poisson process) until the run is ending."""
         while not self.is_ending:
             await asyncio.sleep(self.rng.expovariate(self.plan.rate))
             self.spawn_task(self.run_client())
@@ -247,7 +251,7 @@
     # Discovery.
 
     def notify_agents(self, *changed: Server) -> None:
-        """Gives changes to all agents, to some of them late."""
+        """Sends changed servers to all agents, to a random share of them with a delay."""
         for agent in self.agents:
             if self.rng.random() < SHARE_LATE_NOTIFICATION:
                 self.spawn_task(self.notify_late(agent, changed, self.rng.uniform(*LATE_NOTIFICATION)))
@@ -255,16 +259,19 @@
                 self.notify(agent, entries_of(changed))
 
     async def notify_late(self, agent: DiscoveryAgent, changed: tuple[Server, ...], wait: float) -> None:
-        """Gives changes as they are by then, so that an older one never follows a newer one."""
+        """Sends servers in their state after the delay, so that an older state never follows a newer one."""
         await asyncio.sleep(wait)
         self.notify(agent, entries_of(changed))
 
     def notify(self, agent: DiscoveryAgent, entries: list[Entry]) -> None:
-        """Gives changes to an agent and notes from when they count as known."""
+        """Sends changes to an agent, and records when its proxy counts as notified."""
         self.record_notifications(agent, entries, agent.receive_changes(entries))
 
     def record_notifications(self, agent: DiscoveryAgent, entries: list[Entry], delivery: Delivery) -> None:
-        """Notes from when a proxy counts as notified of servers' changes."""
+        """Records when an agent's proxy counts as notified of changes.
+
+        Changes without a known time of delivery are recorded only when the agent's outage ends.
+        """
         self.records.notifications += [
             NotifiedChange(
                 agent.proxy, entry["host"], delivery.notified_at, delivery.text, entry["health"] == "ready"
@@ -274,13 +281,13 @@
         ]
 
     def record_fault(self, text: str) -> None:
-        """Notes a trouble that begins now."""
+        """Records a fault that is injected now."""
         self.records.injected_faults.append((time.monotonic(), text))
 
     # The run.
 
     async def watch_lag(self) -> None:
-        """Notes when this process is late itself, and what became of the proxies' processes."""
+        """Records delays of this process, and from time to time the state of the proxy processes."""
         while not self.is_ending:
             before = time.monotonic()
             await asyncio.sleep(LAG_SAMPLE_INTERVAL)
@@ -292,7 +299,7 @@
                     proxy.observe()
 
     async def run(self, faults: Coroutine[Any, Any, None]) -> Records:
-        """Plays the whole run beside the troubles; returns what was noted."""
+        """Runs the simulation while `faults` injects faults; returns the records."""
         asyncio.get_running_loop().set_exception_handler(ignore_lost_connections)
         try:
             await self.start()
@@ -304,7 +311,7 @@
             await asyncio.wait(background, timeout=FAULTS_END_TIMEOUT)
             if self.fault_tasks:
                 await asyncio.wait(set(self.fault_tasks), timeout=FAULTS_END_TIMEOUT)
-            # Sessions go on meanwhile: their clients use them until they are migrated, or cut off.
+            # Established sessions stay in use during the stops, until they are migrated or cut off.
             for proxy in self.proxies:
                 proxy.send_signal(signal.SIGCONT)
             await asyncio.gather(*(self.stop(proxy) for proxy in self.proxies))
@@ -315,7 +322,7 @@
             self.close()
 
     def close(self) -> None:
-        """Ends all processes and listeners."""
+        """Kills all processes and closes the relay, the subnet's reservation and the servers' listeners."""
         for proxy in self.proxies:
             proxy.send_signal(signal.SIGCONT)
             proxy.kill()
@@ -328,11 +335,11 @@
 
 
 def ignore_lost_connections(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Passes over connections of this process that are cut off as a run ends: they are no proxy's fault."""
+    """Suppresses the errors of connections of this process that are cut off at the end of a run."""
     if not isinstance(context.get("exception"), (asyncio.CancelledError, ConnectionError)):
         loop.default_exception_handler(context)
 
 
 def address_text(address: tuple[str, int]) -> str:
-    """Returns an address as configurations write it."""
+    """Returns an address in the format of configuration files."""
     return f"{address[0]}:{address[1]}"
--- a/tests/test_fault_plans.py
+++ b/tests/test_fault_plans.py
@@ -1,4 +1,4 @@
-"""The harness that makes a process's system calls fail: its plans arrive, whenever its signals come."""
+"""Tests that a process reads its latest fault plan, however quickly and early the plan signals arrive."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 
 
 def test_plans_in_quick_series_from_the_first_instant_on_end_at_the_last(tmp_path: Path) -> None:
-    # Guards against a soak whose proxy is ended by SIGUSR1, or goes on by a plan that was replaced.
+    # Guards against a process that is killed by SIGUSR1 during its start, or that keeps an outdated plan when
+    # a signal interrupts the reading of the previous one.
     faults = FaultInjector(tmp_path)
     command = [sys.executable, "-c", f"{faults.patch}\n{IDLE}"]
     process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True, preexec_fn=ignore_plan_signals)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak over real processes, and the same with faults put in on purpose, which the judge must find."""
+"""Short soak runs with real processes: without defects, and with injected defects that must be detected."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from tests.soak.simulation import SimulationPlan
 
 SEEDS = (3, 11)
-MAX_SEEDS = 9  # seeds in which a fault may be found
+MAX_SEEDS = 9  # seeds tried until a defect is detected
 INVARIANTS = "brambleplank.decisions.request_invariants:RequestInvariants"
 EFFECTS_ARE_IGNORED = {"brambleplank.decisions.idempotency:IdempotencyStage.excludes": "lambda *what: False"}
 INJECTED_DEFECTS = {
-    # Goes again whatever may have run, and the guard does not look.
+    # Repeats requests that may have run, with the invariant check disabled.
     "no effect twice": overrides(
         {
             **EFFECTS_ARE_IGNORED,
             f"{INVARIANTS}.reason_not_to_repeat": "lambda *what: ''",
         }
     ),
-    # Sends on to servers that drain.
+    # Keeps sending to draining servers.
     "drain": overrides(
         {
             "brambleplank.decisions.draining:DrainStage.excludes": "lambda *what: False",
             f"{INVARIANTS}.reason_not_to_send": "lambda *what: ''",
         }
     ),
-    # Forgets requests whose first attempt fails.
+    # Neither retries a request whose attempt failed nor answers it at its deadline.
     "answer": overrides(
         {
             "brambleplank.decisions.deadline:DeadlineStage.attempt_ended": "lambda *what, **more: None",
@@ -37,22 +37,22 @@
             "brambleplank.net.unanswered_requests:UnansweredRequests.sweep": "lambda self: None",
         }
     ),
-    # Keeps its sessions at a planned stop, until it is killed.
+    # Doesn't migrate sessions at a planned stop, until the process is killed.
     "cut off without MOVE": overrides(
         {"brambleplank.decisions.migration:Migration.begin_shutdown": "lambda *what: None"}
     ),
-    # Goes again whatever may have run: the guard refuses it, and its line is found.
+    # Tries to repeat requests that may have run: the invariant check prevents it and logs a violation.
     "log": overrides(EFFECTS_ARE_IGNORED),
 }
 
 
 def run_short(seed: int, folder: Path, patch: str = "") -> tuple[set[str], str]:
-    """Returns the rules that a short run broke, and its text; plays it again if it is void."""
+    """Returns the rules violated in a short run, and its summary; repeats an inconclusive run up to twice."""
     for number in range(3):
         result = run_soak(SimulationPlan(seed, folder / str(number), 6, 6, 7.0, 40.0, patch))
         if not result.is_inconclusive:
             return {violation.rule for violation in result.violations}, result.text(5)
-    return set(), "void: this machine was too busy to judge"
+    return set(), "inconclusive: machine overloaded"
 
 
 @pytest.mark.timeout(180)
@@ -65,7 +65,7 @@
 @pytest.mark.timeout(180)
 @pytest.mark.parametrize("rule", INJECTED_DEFECTS)
 def test_a_fault_put_in_on_purpose_is_found(tmp_path: Path, rule: str) -> None:
-    for seed in range(1, MAX_SEEDS + 1):  # what a short run meets is left to chance
+    for seed in range(1, MAX_SEEDS + 1):  # whether one short run exposes the defect is left to chance
         broken_rules, text = run_short(seed, tmp_path / str(seed), INJECTED_DEFECTS[rule])
         if rule in broken_rules:
             return
--- a/tests/test_soak_records.py
+++ b/tests/test_soak_records.py
@@ -1,4 +1,4 @@
-"""What the soak notes of its own troubles, and what the judge makes of them."""
+"""Tests of the soak itself: its records of injected faults, and the checks that use them."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 @pytest.fixture
 def proxy(tmp_path: Path) -> Proxy:
-    """A proxy with one process that was never started."""
+    """A proxy with the record of one process, which isn't actually started."""
     proxy = Proxy(0, tmp_path, ("127.0.0.1", 1), DiscoveryAgent(0), Records())
     proxy.runs.append(ProcessRun(0, 0.0))
     return proxy
 
 
 def test_span_of_failing_connects_ends_though_the_plan_was_changed_meanwhile(proxy: Proxy) -> None:
-    # Guards against a judge that excuses every later drain of a process: its span never ended.
+    # Guards against a span that is never closed: the checker would excuse all later drain violations.
     proxy.apply_fault_plan(**UNREACHABLE)
     proxy.apply_fault_plan(**UNREACHABLE, wall=5.0)
     proxy.apply_fault_plan(wall=5.0)
@@ -42,7 +42,7 @@
 
 
 async def open_watch(agent: DiscoveryAgent) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Returns a watch at an agent that listens, its head and its first list read."""
+    """Opens a watch and reads the response head and the initial list."""
     host, port = agent.address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"GET /discovery/hosts?watch=1 HTTP/1.1\r\n\r\n")
@@ -52,7 +52,7 @@
 
 
 async def read_line(reader: asyncio.StreamReader) -> Any:
-    """Returns the next line of a watch, decoded."""
+    """Reads the next chunk of a watch and decodes its JSON."""
     size = int(await reader.readline(), 16)
     line = await reader.readexactly(size)
     assert await reader.readline() == b"\r\n"
@@ -64,7 +64,7 @@
 
 
 def run_with_agent(scenario: Callable[[DiscoveryAgent], Coroutine[Any, Any, None]]) -> None:
-    """Plays acts with an agent that listens."""
+    """Runs a scenario with a listening agent."""
 
     async def run() -> None:
         agent = DiscoveryAgent(0)
@@ -77,7 +77,8 @@
 
 
 def test_changes_in_pieces_reach_a_watch_one_after_another() -> None:
-    # Guards against a soak that blames a proxy for a change whose pieces were mixed with those of the next.
+    # Guards against pieces of consecutive changes being interleaved, which the soak would report as a fault
+    # of the proxy.
     async def scenario(agent: DiscoveryAgent) -> None:
         reader, _ = await open_watch(agent)
         agent.sends_pieces = True
@@ -92,7 +93,7 @@
 
 
 def test_silent_watch_counts_until_its_proxy_ends_it() -> None:
-    # Guards against changes that count as known before they were made, or late though no watch is open.
+    # Guards against a proxy that counts as notified before a change was made, or late with no watch open.
     async def scenario(agent: DiscoveryAgent) -> None:
         _, writer = await open_watch(agent)
         agent.silence_watches()
@@ -111,7 +112,7 @@
 
 
 def test_agent_is_down_until_its_last_outage_is_over() -> None:
-    # Guards against an agent that serves amid an outage, and against changes that count before its return.
+    # Guards against an agent that serves during an outage, and changes counted as delivered before its end.
     agent = DiscoveryAgent(0)
     agent.begin_outage(3.0)
     agent.begin_outage(3.0)
@@ -122,7 +123,7 @@
 
 
 def check_overlapping_attempts(end_seen_at: float, lags: list[tuple[float, float]]) -> list[Violation]:
-    """Judges a request that was sent to two servers, whose second attempt came at 10.0."""
+    """Checks a request with two attempts, the second of which was received at 10.0 s."""
     records = Records(lags=lags, processes=[ProcessRun(0, 0.0, log_path="/dev/null")])
     records.clients.append(ClientRecord("1", "feed", 0, 0, 1.0, sent_at=9.5, answers=[(10.1, "BUSY")]))
     records.attempts.append(Attempt("1", "feed", "s1", 9.6, 9.6, "nothing", ended_at=end_seen_at))
@@ -131,7 +132,7 @@
 
 
 def test_two_attempts_out_are_found_but_for_the_judges_own_lateness() -> None:
-    # Guards against a judge that was late itself and takes it for a second attempt out at once.
+    # Guards against false reports of overlapping attempts that are due to lag of the simulating process.
     assert not check_overlapping_attempts(10.04, [])
     assert [violation.rule for violation in check_overlapping_attempts(10.08, [])] == ["two attempts out"]
     assert not check_overlapping_attempts(10.08, [(10.01, 0.06)])
@@ -144,7 +145,7 @@
 
 
 def check_slow_start_with(proxies_notified: int) -> list[str]:
-    """Judges a server in slow start that gets 12 attempts each of three proxies, some of them notified."""
+    """Checks a server in slow start that gets 12 attempts from each of three proxies, some not notified."""
     records = Records(server_starts={"s1": 10.0})
     for proxy in range(3):
         records.processes.append(ProcessRun(proxy, 0.0, log_path="/dev/null"))
@@ -160,13 +161,13 @@
 
 
 def test_server_is_pushed_over_by_proxies_that_were_notified_of_its_start() -> None:
-    # Guards against a judge that blames proxies for a start of which discovery has told them nothing yet.
+    # Guards against blaming proxies for overloading a server of whose start they weren't notified yet.
     assert check_slow_start_with(proxies_notified=3) == ["slow start"]
     assert check_slow_start_with(proxies_notified=2) == []
 
 
 def test_runs_beside_each_other_have_addresses_of_their_own() -> None:
-    # Guards against two soaks whose proxies listen at the same addresses, and serve each other's clients.
+    # Guards against concurrent runs whose proxies listen on the same addresses and serve the wrong clients.
     one = Subnet(7)
     other = Subnet(7)
     assert one.number != other.number
