--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -37,7 +37,8 @@
             f"seed {self.seed}: {len(records.clients)} requests, {established} UP, "
             f"{len(records.attempts)} attempts, {len(records.processes)} processes, "
             f"{records.killed_after_stop} killed after a stop, {len(records.injected_faults)} faults, "
-            f"lag {records.total_lag:.1f} s: {inconclusive}"
+            f"lag {records.total_lag:.1f} s: "
+            + inconclusive
             + (f"VIOLATIONS {counts}" if counts else "no violations")
         ]
         shown: Counter[str] = Counter()
--- a/tests/soak/simulation.py
+++ b/tests/soak/simulation.py
@@ -75,7 +75,7 @@
                 return
             except OSError:
                 continue
-        raise RuntimeError(f"all {SUBNETS} loopback subnets are in use by concurrent runs")
+        raise RuntimeError("all loopback subnets are in use by concurrent runs")
 
     def close(self) -> None:
         """Releases the subnet."""
