--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -67,8 +67,8 @@
         reader, writer = await asyncio.wait_for(connecting, CONNECT_TIMEOUT)
         record = self.record
         self.records.clients.append(record)
-        connected = writer.get_extra_info("socket")
-        connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock = writer.get_extra_info("socket")
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         try:
             if self.misbehaviour is not None and await self.misbehave(reader, writer):
                 return record
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -167,14 +167,14 @@
                 overlap = earlier.ended_at - later.received_at
                 details = f"{earlier.server} until {overlap:.3f} s after {later.server}"
                 self.report("two attempts out", f"{client.request_id} {details}")
-        ran = [attempt for attempt in attempts if attempt.may_have_run]
-        if not ran:
+        executed = [attempt for attempt in attempts if attempt.may_have_run]
+        if not executed:
             return
         effect = self.traffic_classes[client.traffic_class]["effect"]
         if effect == "once":
-            self.check_not_repeated(client, attempts, ran[0])
+            self.check_not_repeated(client, attempts, executed[0])
         if effect == "by_key":
-            self.check_deduplicated(client, attempts, ran[0])
+            self.check_deduplicated(client, attempts, executed[0])
 
     def check_not_repeated(self, client: ClientRecord, attempts: list[Attempt], first: Attempt) -> None:
         """Checks that a non-idempotent request is neither repeated nor rejected once it may have run."""
@@ -209,10 +209,10 @@
         process = self.process_of(client)
         if not client.is_established or client.misbehaviour is not None:
             return
-        first_answer = client.answers[0][1]
-        newest = self.attempts.get(client.request_id, [])[-1:]
-        if not newest or not first_answer.endswith(f"{newest[0].server}-{client.request_id}"):
-            self.report("answer of no server", f"{client.request_id}: {first_answer[:60]}")
+        up_line = client.answers[0][1]
+        last_attempts = self.attempts.get(client.request_id, [])[-1:]
+        if not last_attempts or not up_line.endswith(f"{last_attempts[0].server}-{client.request_id}"):
+            self.report("answer of no server", f"{client.request_id}: {up_line[:60]}")
         if self.was_killed(client, client.ended_at + KILL_SEEN_WITHIN):
             return
         ended_by_server = client.request_id in self.records.sessions_ended_by_server
@@ -301,13 +301,15 @@
                 break
             in_window = [other for other in received[number:] if other.received_at <= at + window]
             count = len(in_window)
-            ability = 1 - (1 - rules["cold_from"]) * (1 - (at - started) / ramp)
-            most = rules["overload_factor"] * (self.rate / self.servers) * ability * window
-            most += (3 if most < 30 else 2) * sqrt(most) + (3 if most < 30 else 2)  # for random variation
-            if count > most:
+            capacity_share = 1 - (1 - rules["cold_from"]) * (1 - (at - started) / ramp)
+            max_attempts = rules["overload_factor"] * (self.rate / self.servers) * capacity_share * window
+            max_attempts += (3 if max_attempts < 30 else 2) * sqrt(max_attempts) + (
+                3 if max_attempts < 30 else 2
+            )  # for random variation
+            if count > max_attempts:
                 notified = sum(self.was_notified_of_start(attempt, started) for attempt in in_window)
                 if notified > NOTIFIED_SHARE * count:
-                    details = f"{server} had {count} in {window} s, {most:.1f} allowed"
+                    details = f"{server} had {count} in {window} s, {max_attempts:.1f} allowed"
                     self.report("slow start", f"{details}; {notified} from proxies notified of its start")
                 break
 
--- a/tests/soak/proxies.py
+++ b/tests/soak/proxies.py
@@ -169,8 +169,8 @@
             self.is_in_rotation = False
             return
         with suppress(OSError):
-            held = len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
-            self.current_run.peak_descriptors = max(self.current_run.peak_descriptors, held)
+            open_descriptors = len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
+            self.current_run.peak_descriptors = max(self.current_run.peak_descriptors, open_descriptors)
 
 
 def update_span(spans: list[Span], now: float, lasts: bool) -> None:
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -141,8 +141,8 @@
     async def is_abandoned(reader: asyncio.StreamReader, delay: float) -> bool:
         """Waits that many seconds. Returns True early if the proxy closes the connection meanwhile."""
         due = time.monotonic() + delay
-        while (left := due - time.monotonic()) > 0:
-            await asyncio.sleep(min(left, POLL_INTERVAL))
+        while (remaining := due - time.monotonic()) > 0:
+            await asyncio.sleep(min(remaining, POLL_INTERVAL))
             if reader.at_eof():
                 return True
         return False
@@ -195,10 +195,10 @@
     @staticmethod
     def reset(writer: asyncio.StreamWriter) -> None:
         """Closes a connection with RST."""
-        connected = writer.get_extra_info("socket")
-        if connected is not None:
+        sock = writer.get_extra_info("socket")
+        if sock is not None:
             with suppress(OSError):
-                connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.close()
 
     def reset_some(self, share: float) -> None:
--- a/tests/soak/simulation.py
+++ b/tests/soak/simulation.py
@@ -186,15 +186,15 @@
         """
         if proxy.current_run.ready_at == inf:
             await self.wait_until_ready(proxy)
-        signals = Random(f"signals {self.plan.seed} {proxy.number} {len(proxy.runs)}")
-        for _ in range(signals.randrange(MAX_SIGNALS_BEFORE_STOP + 1)):
+        signal_rng = Random(f"signals {self.plan.seed} {proxy.number} {len(proxy.runs)}")
+        for _ in range(signal_rng.randrange(MAX_SIGNALS_BEFORE_STOP + 1)):
             proxy.send_signal(signal.SIGHUP)
-            await asyncio.sleep(signals.uniform(0.0, MAX_SIGNAL_PAUSE))
+            await asyncio.sleep(signal_rng.uniform(0.0, MAX_SIGNAL_PAUSE))
         proxy.request_stop()
         kill_at = time.monotonic() + self.kill_after
-        for _ in range(signals.randrange(MAX_SIGNALS_AFTER_STOP + 1)):
-            await asyncio.sleep(signals.uniform(0.0, MAX_SIGNAL_PAUSE))
-            proxy.send_signal(signals.choice((signal.SIGHUP, signal.SIGTERM)))
+        for _ in range(signal_rng.randrange(MAX_SIGNALS_AFTER_STOP + 1)):
+            await asyncio.sleep(signal_rng.uniform(0.0, MAX_SIGNAL_PAUSE))
+            proxy.send_signal(signal_rng.choice((signal.SIGHUP, signal.SIGTERM)))
         await self.wait_for_end(proxy, kill_at - time.monotonic())
 
     # Clients.
--- a/tests/test_fault_plans.py
+++ b/tests/test_fault_plans.py
@@ -15,7 +15,7 @@
 IDLE = "import time\nwhile True:\n    time.sleep(0.001)"
 
 
-def test_plans_in_quick_series_from_the_first_instant_on_end_at_the_last(tmp_path: Path) -> None:
+def test_last_of_many_plans_in_quick_succession_is_read_even_during_startup(tmp_path: Path) -> None:
     # Guards against a process that is killed by SIGUSR1 during its start, or that keeps an outdated plan when
     # a signal interrupts the reading of the previous one.
     faults = FaultInjector(tmp_path)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -14,7 +14,7 @@
 MAX_SEEDS = 9  # seeds tried until a defect is detected
 INVARIANTS = "brambleplank.decisions.request_invariants:RequestInvariants"
 EFFECTS_ARE_IGNORED = {"brambleplank.decisions.idempotency:IdempotencyStage.excludes": "lambda *what: False"}
-INJECTED_DEFECTS = {
+DEFECTS = {
     # Repeats requests that may have run, with the invariant check disabled.
     "no effect twice": overrides(
         {
@@ -63,10 +63,10 @@
 
 
 @pytest.mark.timeout(180)
-@pytest.mark.parametrize("rule", INJECTED_DEFECTS)
-def test_a_fault_put_in_on_purpose_is_found(tmp_path: Path, rule: str) -> None:
+@pytest.mark.parametrize("rule", DEFECTS)
+def test_injected_defect_is_detected(tmp_path: Path, rule: str) -> None:
     for seed in range(1, MAX_SEEDS + 1):  # whether one short run exposes the defect is left to chance
-        broken_rules, text = run_short(seed, tmp_path / str(seed), INJECTED_DEFECTS[rule])
+        broken_rules, text = run_short(seed, tmp_path / str(seed), DEFECTS[rule])
         if rule in broken_rules:
             return
     pytest.fail(f"not found: {rule}; {text}")
--- a/tests/test_soak_records.py
+++ b/tests/test_soak_records.py
@@ -32,7 +32,7 @@
     return proxy
 
 
-def test_span_of_failing_connects_ends_though_the_plan_was_changed_meanwhile(proxy: Proxy) -> None:
+def test_span_of_failing_connects_closes_although_the_plan_changed_meanwhile(proxy: Proxy) -> None:
     # Guards against a span that is never closed: the checker would excuse all later drain violations.
     proxy.apply_fault_plan(**UNREACHABLE)
     proxy.apply_fault_plan(**UNREACHABLE, wall=5.0)
@@ -76,7 +76,7 @@
     asyncio.run(run())
 
 
-def test_changes_in_pieces_reach_a_watch_one_after_another() -> None:
+def test_changes_sent_in_pieces_arrive_in_order() -> None:
     # Guards against pieces of consecutive changes being interleaved, which the soak would report as a fault
     # of the proxy.
     async def scenario(agent: DiscoveryAgent) -> None:
@@ -92,7 +92,7 @@
     run_with_agent(scenario)
 
 
-def test_silent_watch_counts_until_its_proxy_ends_it() -> None:
+def test_silent_watch_counts_as_open_until_its_proxy_closes_it() -> None:
     # Guards against a proxy that counts as notified before a change was made, or late with no watch open.
     async def scenario(agent: DiscoveryAgent) -> None:
         _, writer = await open_watch(agent)
@@ -111,7 +111,7 @@
     run_with_agent(scenario)
 
 
-def test_agent_is_down_until_its_last_outage_is_over() -> None:
+def test_agent_is_down_until_its_last_outage_ends() -> None:
     # Guards against an agent that serves during an outage, and changes counted as delivered before its end.
     agent = DiscoveryAgent(0)
     agent.begin_outage(3.0)
@@ -122,7 +122,7 @@
     assert agent.entries["s0"][1] == entry("s0")
 
 
-def check_overlapping_attempts(end_seen_at: float, lags: list[tuple[float, float]]) -> list[Violation]:
+def violations_of_two_attempts(end_seen_at: float, lags: list[tuple[float, float]]) -> list[Violation]:
     """Checks a request with two attempts, the second of which was received at 10.0 s."""
     records = Records(lags=lags, processes=[ProcessRun(0, 0.0, log_path="/dev/null")])
     records.clients.append(ClientRecord("1", "feed", 0, 0, 1.0, sent_at=9.5, answers=[(10.1, "BUSY")]))
@@ -131,20 +131,20 @@
     return RecordChecker(records, draw_settings(Random(1), 6), 40.0, 6).check_all()
 
 
-def test_two_attempts_out_are_found_but_for_the_judges_own_lateness() -> None:
+def test_overlapping_attempts_are_reported_except_within_the_checkers_lag() -> None:
     # Guards against false reports of overlapping attempts that are due to lag of the simulating process.
-    assert not check_overlapping_attempts(10.04, [])
-    assert [violation.rule for violation in check_overlapping_attempts(10.08, [])] == ["two attempts out"]
-    assert not check_overlapping_attempts(10.08, [(10.01, 0.06)])
-    assert [violation.rule for violation in check_overlapping_attempts(10.18, [(10.01, 0.06)])] == [
+    assert not violations_of_two_attempts(10.04, [])
+    assert [violation.rule for violation in violations_of_two_attempts(10.08, [])] == ["two attempts out"]
+    assert not violations_of_two_attempts(10.08, [(10.01, 0.06)])
+    assert [violation.rule for violation in violations_of_two_attempts(10.18, [(10.01, 0.06)])] == [
         "two attempts out"
     ]
-    assert [violation.rule for violation in check_overlapping_attempts(10.08, [(10.09, 0.06)])] == [
+    assert [violation.rule for violation in violations_of_two_attempts(10.08, [(10.09, 0.06)])] == [
         "two attempts out"
     ]
 
 
-def check_slow_start_with(proxies_notified: int) -> list[str]:
+def slow_start_violations(proxies_notified: int) -> list[str]:
     """Checks a server in slow start that gets 12 attempts from each of three proxies, some not notified."""
     records = Records(server_starts={"s1": 10.0})
     for proxy in range(3):
@@ -160,19 +160,19 @@
     return [violation.rule for violation in checker.check_all()]
 
 
-def test_server_is_pushed_over_by_proxies_that_were_notified_of_its_start() -> None:
+def test_slow_start_violation_requires_proxies_notified_of_the_start() -> None:
     # Guards against blaming proxies for overloading a server of whose start they weren't notified yet.
-    assert check_slow_start_with(proxies_notified=3) == ["slow start"]
-    assert check_slow_start_with(proxies_notified=2) == []
+    assert slow_start_violations(proxies_notified=3) == ["slow start"]
+    assert slow_start_violations(proxies_notified=2) == []
 
 
-def test_runs_beside_each_other_have_addresses_of_their_own() -> None:
+def test_concurrent_runs_use_different_subnets() -> None:
     # Guards against concurrent runs whose proxies listen on the same addresses and serve the wrong clients.
-    one = Subnet(7)
-    other = Subnet(7)
-    assert one.number != other.number
-    one.close()
-    again = Subnet(7)
-    assert again.number == one.number
-    again.close()
-    other.close()
+    first = Subnet(7)
+    second = Subnet(7)
+    assert first.number != second.number
+    first.close()
+    reused = Subnet(7)
+    assert reused.number == first.number
+    reused.close()
+    second.close()
