--- a/brambleplank/fleet/retirement/progress.py
+++ b/brambleplank/fleet/retirement/progress.py
@@ -1,10 +1,11 @@
-"""How far the retirements of the table in force are, as the fleet agreed, and what that means for a request.
-
-The leader moves a retirement on by one step at a time, once its date has come by its clock and the
-step before has lasted for a while; a majority must find so too by clocks of their own. It halts one by
-evidence, and lets it go on after a quiet time. Each process turns callers away by the steps in force alone,
-only while it holds a lease: a halt that does not reach it binds it when its lease expires. Free of I/O;
-`wall` gives Unix seconds.
+"""The step in force of each retirement, on which the fleet agrees, and its effect on requests.
+
+The leader moves a retirement to its next step once the date of that step has come by the leader's clock and
+the current step has lasted its least duration; a majority must accept the date by their own clocks. The
+leader halts a retirement on evidence against it, and resumes it after a time without evidence. Each process
+turns callers away by the step in force only, and before the end only while it holds a lease: a member that
+does not receive a halt stops turning callers away when its lease expires. Free of I/O; `wall_time` returns
+Unix seconds.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 from brambleplank.fleet.member import FleetMember
 from brambleplank.fleet.retirement.evidence import CountSamples, Evidence
 from brambleplank.fleet.retirement.plan import (
-    CALLERS_TURNED_AWAY,
-    CALLERS_WARNED,
+    STAGES_TURNING_AWAY,
+    STAGES_WARNING,
     Retirement,
     RetirementStage,
     RetirementStep,
@@ -29,29 +30,31 @@
 from brambleplank.fleet.versions.agreement import VersionAgreement
 from brambleplank.fleet.versions.identity import AgreementCallbacks
 
-KIND = 1  # of text, in messages
-MIN_STEP_SHARE = 1 / 4  # of the time between two steps that the first lasts at least, whatever a clock says
+TEXT_KIND = 1  # of retirement positions, in messages of version agreements
+# A step lasts at least this fraction of the time between its date and the next one, and at least the duration
+# below in seconds, even if the clock jumps.
+MIN_STEP_FRACTION = 1 / 4
 MIN_STEP_DURATION = 2 * HEARTBEAT_INTERVAL
 CLOCK_TOLERANCE = LEASE_DURATION  # seconds by which a member's clock may be behind the leader's
-HALT_RECOVERY_TIME = 30.0  # seconds without evidence until a halt is over
-NOT_BEGUN = -1  # the step of a retirement that was not announced yet
+HALT_RECOVERY_TIME = 30.0  # seconds without evidence after which a halt ends
+NOT_BEGUN = -1  # the step number of a retirement that is not announced yet
 
 
 class RetirementPosition(msgspec.Struct, array_like=True, frozen=True):
-    """How far one retirement is: the step, counted from 0, and why it is halted."""
+    """The number of the step in force of a retirement, from 0, and why it is halted; "" if it is not."""
 
     name: str
     step: int
-    halted: str = ""
+    halt_reason: str = ""
 
 
-PLACES_DECODER: msgspec.json.Decoder[list[RetirementPosition]] = msgspec.json.Decoder(
+POSITIONS_DECODER: msgspec.json.Decoder[list[RetirementPosition]] = msgspec.json.Decoder(
     list[RetirementPosition]
 )
 
 
 class RetirementTable(Protocol):
-    """A route table, as far as retirements need it."""
+    """The part of a route table that retirements need."""
 
     @property
     def retirements(self) -> Mapping[str, Retirement]:
@@ -59,22 +62,22 @@
 
 
 class ActiveTable(Protocol):
-    """Holds the route table in force at this process."""
+    """Provides the route table in force at this process."""
 
     @property
     def table(self) -> RetirementTable:
-        """The table in force now."""
+        """The table in force."""
 
 
 class StepCache:
-    """The steps of the retirements of one table."""
+    """Caches the steps of the retirements of one table."""
 
     def __init__(self) -> None:
         self.table: object = None
         self.steps: dict[str, list[RetirementStep]] = {}
 
     def steps_of(self, table: object, retirement: Retirement) -> list[RetirementStep]:
-        """Returns the steps of a retirement of a table; those of another table are forgotten."""
+        """Returns the steps of a retirement of a table; a new table empties the cache."""
         if self.table is not table:
             self.table = table
             self.steps = {}
@@ -84,78 +87,80 @@
 
 
 class RetirementProgress:
-    """`servers` gives how many are ready."""
+    """The progress of the retirements; `ready_servers` returns how many servers are ready."""
 
     def __init__(
         self,
         fleet: FleetMember,
-        routing: ActiveTable,
-        wall: Callable[[], float],
-        servers: Callable[[], int],
+        active_table: ActiveTable,
+        wall_time: Callable[[], float],
+        ready_servers: Callable[[], int],
         log: Callable[[str], None],
     ) -> None:
         self.fleet = fleet
-        self.routing = routing
-        self.wall = wall
+        self.active_table = active_table
+        self.wall_time = wall_time
         self.log = log
-        self.now = fleet.identity.began  # at the last turn
-        self.positions: dict[str, RetirementPosition] = {}
-        self.entered: dict[str, float] = {}  # when a step came into force here
+        self.now = fleet.identity.began  # at the last tick
+        self.positions: dict[str, RetirementPosition] = {}  # in force, by retirement
+        self.entered_at: dict[str, float] = {}  # when the step of a retirement came into force here
         self.step_cache = StepCache()
         self.samples = CountSamples(fleet.counts.fleet)
-        self.evidence = Evidence(self.samples, fleet.coverage, servers)
-        self.evidence_at: dict[str, float] = {}  # when a reason to halt was last found
+        self.evidence = Evidence(self.samples, fleet.coverage, ready_servers)
+        self.last_evidence_at: dict[str, float] = {}  # by retirement: when a reason to halt was last found
         self.agreement = VersionAgreement(
-            fleet.agreement_identity(KIND, "retirements"),
-            AgreementCallbacks(fleet.send, self.judge, self.apply, log),
+            fleet.agreement_identity(TEXT_KIND, "retirements"),
+            AgreementCallbacks(fleet.send, self.review, self.apply, log),
             fleet.rng,
             one_objection_rejects=False,
         )
         fleet.agreements.add(self.agreement)
-        # A step back would serve again who was told to go.
-        fleet.monotonic.add(lambda: {f"step of {name}": place.step for name, place in self.positions.items()})
+        # After a step back, callers that were told to use the successor would be served again.
+        fleet.monotonic.add(
+            lambda: {f"step of {name}": position.step for name, position in self.positions.items()}
+        )
 
     # Requests.
 
     def current_step(self, retirement: Retirement) -> RetirementStep | None:
-        """Returns the step in force; None: nothing was announced yet."""
-        place = self.positions.get(retirement.name)
-        return self.numbered_step(retirement, place.step) if place else None
+        """Returns the step in force of a retirement; None if it is not announced yet."""
+        position = self.positions.get(retirement.name)
+        return self.numbered_step(retirement, position.step) if position else None
 
     def numbered_step(self, retirement: Retirement, number: int) -> RetirementStep | None:
-        """Returns the step of a number, if there is one."""
+        """Returns the step with a number, or None."""
         steps = self.steps_of(retirement)
         return steps[number] if 0 <= number < len(steps) else None
 
     def steps_of(self, retirement: Retirement) -> list[RetirementStep]:
         """Returns all steps of a retirement of the table in force."""
-        return self.step_cache.steps_of(self.routing.table, retirement)
+        return self.step_cache.steps_of(self.active_table.table, retirement)
 
     def warns(self, retirement: Retirement) -> bool:
-        """Returns whether callers are warned."""
+        """Returns whether the step in force warns callers."""
         step = self.current_step(retirement)
-        return step is not None and step.stage in CALLERS_WARNED
+        return step is not None and step.stage in STAGES_WARNING
 
     def turns_away(self, now: float, retirement: Retirement, customer: str, caller: str) -> bool:
-        """Returns whether a caller is turned away now; a unit of the ceiling is taken for it."""
+        """Returns whether a caller is turned away now; if so, takes a unit of the ceiling."""
         step = self.current_step(retirement)
-        place = self.positions.get(retirement.name)
-        if step is None or place is None or retirement.halted:
+        position = self.positions.get(retirement.name)
+        if step is None or position is None or retirement.halted:
             return False
         if not turns_away(retirement, step, customer, caller):
             return False
         may_halt = step.stage != RetirementStage.ENDED
-        if may_halt and (place.halted or self.fleet.partitioned or not self.fleet.has_lease(now)):
-            return False  # Partitioned, it would not receive a halt; callers are served until it can.
+        if may_halt and (position.halt_reason or self.fleet.partitioned or not self.fleet.has_lease(now)):
+            return False  # A partitioned process would not receive a halt, so it serves its callers.
         return not retirement.ceiling or self.fleet.take(now, retirement.ceiling)
 
-    def moves(self, now: float, retirement: Retirement, standing: int) -> int:
-        """Returns how many of the sessions with an ended version are to be migrated in this second."""
+    def migration_count(self, now: float, retirement: Retirement, session_count: int) -> int:
+        """Returns how many sessions of an ended service type or version to migrate in this second."""
         step = self.current_step(retirement)
-        if step is None or step.stage != RetirementStage.ENDED or retirement.halted or not standing:
+        if step is None or step.stage != RetirementStage.ENDED or retirement.halted or not session_count:
             return 0
-        left = self.entered.get(retirement.name, now) + retirement.move_within - now
-        wanted = -(-standing // max(1, round(left)))
+        left = self.entered_at.get(retirement.name, now) + retirement.move_within - now
+        wanted = -(-session_count // max(1, round(left)))
         if not retirement.moves:
             return wanted
         count = 0
@@ -165,110 +170,118 @@
 
     # Called by the agreement.
 
-    def judge(self, digest: int, text: bytes, done: Callable[[str], None]) -> None:  # noqa: ARG002
-        """Judges proposed steps by this process's own clock.
+    def review(self, digest: int, text: bytes, done: Callable[[str], None]) -> None:  # noqa: ARG002
+        """Reviews proposed steps by this process's own clock.
 
-        Otherwise one clock that has jumped would turn callers away a month early.
+        Otherwise a jump of one clock could turn callers away a month early.
         """
         try:
-            places = PLACES_DECODER.decode(text)
+            positions = POSITIONS_DECODER.decode(text)
         except msgspec.DecodeError as error:
             done(f"unreadable: {error}")
             return
-        objections = (self.objection(place) for place in places)
+        objections = (self.objection(position) for position in positions)
         done(next((objection for objection in objections if objection), ""))
 
-    def objection(self, place: RetirementPosition) -> str:
-        """Returns what this process has against a proposed step; "" if nothing."""
-        retirement = self.routing.table.retirements.get(place.name)
-        before = self.positions.get(place.name)
+    def objection(self, position: RetirementPosition) -> str:
+        """Returns the objection to a proposed position; "" if there is none."""
+        retirement = self.active_table.table.retirements.get(position.name)
+        before = self.positions.get(position.name)
         number = before.step if before else NOT_BEGUN
-        if retirement is None or place.step == number:
+        if retirement is None or position.step == number:
             return ""
-        step = self.numbered_step(retirement, place.step)
-        skips = place.step > number + 1 and self.agreement.is_current
-        if step is None or place.step < number or skips:
-            return f"{place.name}: step {place.step} after {number}"
-        if step.due > self.wall() + CLOCK_TOLERANCE:
-            return f"{place.name}: the date of step {place.step} has not come here"
+        step = self.numbered_step(retirement, position.step)
+        skips = position.step > number + 1 and self.agreement.is_current
+        if step is None or position.step < number or skips:
+            return f"{position.name}: step {position.step} after {number}"
+        if step.due > self.wall_time() + CLOCK_TOLERANCE:
+            return f"{position.name}: the date of step {position.step} is in the future here"
         return ""
 
-    def apply(self, number: int, digest: int) -> None:  # noqa: ARG002
-        """Puts the steps of a version in force."""
-        places = {place.name: place for place in PLACES_DECODER.decode(self.agreement.texts.text(digest))}
-        for name, place in places.items():
+    def apply(self, version: int, digest: int) -> None:  # noqa: ARG002
+        """Puts the positions of a version in force."""
+        positions = {
+            position.name: position
+            for position in POSITIONS_DECODER.decode(self.agreement.texts.text(digest))
+        }
+        for name, position in positions.items():
             before = self.positions.get(name)
-            if before is None or before.step != place.step:
-                self.entered[name] = self.now
-            if before != place:
-                self.log_place(place)
-        self.positions = places
-
-    def log_place(self, place: RetirementPosition) -> None:
-        """Logs where a retirement of the table in force is."""
-        retirement = self.routing.table.retirements.get(place.name)
-        step = self.numbered_step(retirement, place.step) if retirement is not None else None
+            if before is None or before.step != position.step:
+                self.entered_at[name] = self.now
+            if before != position:
+                self.log_position(position)
+        self.positions = positions
+
+    def log_position(self, position: RetirementPosition) -> None:
+        """Logs the position of a retirement, if the table in force has it."""
+        retirement = self.active_table.table.retirements.get(position.name)
+        step = self.numbered_step(retirement, position.step) if retirement is not None else None
         if step is None:
             return
         share = f", {step.share:.0%} turned away" if step.stage == RetirementStage.SHEDDING else ""
-        halted = f"; halted: {place.halted}" if place.halted else ""
-        self.log(f"retirement {place.name}: {step.stage}{share}{halted}")
+        halted = f"; halted: {position.halt_reason}" if position.halt_reason else ""
+        self.log(f"retirement {position.name}: {step.stage}{share}{halted}")
 
     # As the leader.
 
     def tick(self, now: float) -> None:
-        """Called about every tenth of a second; the leader proposes steps when they are due."""
+        """Samples the counts and proposes due positions, if this process leads; about ten times a second."""
         self.now = now
         proposer = self.agreement.proposer
         if proposer.leader_since is None or not proposer.recovered or proposer.proposal is not None:
             return
         self.samples.update(now)
-        found = [self.next_place(now, each) for each in self.routing.table.retirements.values()]
-        wanted = [place for place in found if place is not None]
+        found = [self.next_position(now, each) for each in self.active_table.table.retirements.values()]
+        wanted = [position for position in found if position is not None]
         if wanted != [*self.positions.values()]:
-            digest = self.agreement.texts.keep(msgspec.json.encode(wanted))
-            proposer.propose(now, self.agreement.newest + 1, digest, self.fleet.identity.number)
+            digest = self.agreement.texts.store(msgspec.json.encode(wanted))
+            proposer.propose(now, self.agreement.highest_version + 1, digest, self.fleet.identity.number)
 
-    def next_place(self, now: float, retirement: Retirement) -> RetirementPosition | None:
-        """Returns where a retirement should be: as it is, one step on, halted, or no longer halted."""
-        place = self.positions.get(retirement.name)
-        number = place.step if place else NOT_BEGUN
+    def next_position(self, now: float, retirement: Retirement) -> RetirementPosition | None:
+        """Returns the position that a retirement should have: unchanged, one step on, halted or resumed."""
+        position = self.positions.get(retirement.name)
+        number = position.step if position else NOT_BEGUN
         step = self.numbered_step(retirement, number)
-        halted = self.halted(now, retirement, step, place.halted if place else "")
+        halted = self.halt_reason(now, retirement, step, position.halt_reason if position else "")
         following = self.numbered_step(retirement, number + 1)
         if halted or retirement.halted:
             following = None
         if following is not None and self.is_due(now, retirement, step, following):
-            if following.stage in CALLERS_TURNED_AWAY and not is_turning_away(step):
-                self.evidence.take_baseline(retirement)
+            if following.stage in STAGES_TURNING_AWAY and not is_turning_away(step):
+                self.evidence.record_baseline(retirement)
             number += 1
         return RetirementPosition(retirement.name, number, halted) if number != NOT_BEGUN else None
 
-    def halted(self, now: float, retirement: Retirement, step: RetirementStep | None, reason: str) -> str:
-        """Returns why a retirement should be halted, given why it is; "" if it should not be."""
+    def halt_reason(
+        self, now: float, retirement: Retirement, step: RetirementStep | None, reason: str
+    ) -> str:
+        """Returns why a retirement should be halted, or "".
+
+        `reason` is why it is halted now; it stays until no evidence was found for a time.
+        """
         if step is None or not is_turning_away(step):
             return ""
         found = self.evidence.reason_to_halt(now, retirement, step)
         if found:
-            self.evidence_at[retirement.name] = now
+            self.last_evidence_at[retirement.name] = now
             return reason or found
         if not reason:
             return ""
-        quiet_since = self.evidence_at.setdefault(retirement.name, now)
+        quiet_since = self.last_evidence_at.setdefault(retirement.name, now)
         return "" if now >= quiet_since + HALT_RECOVERY_TIME else reason
 
     def is_due(
         self, now: float, retirement: Retirement, step: RetirementStep | None, following: RetirementStep
     ) -> bool:
-        """Returns whether a step has lasted as long as it has to, and the date of the next has come."""
-        entered = self.entered.get(retirement.name)
-        if step is not None and entered is not None:
-            lasts = max(MIN_STEP_DURATION, MIN_STEP_SHARE * (following.due - step.due))
-            if now < entered + lasts:
+        """Returns whether a step has lasted its least duration, and the date of the next one has come."""
+        entered_at = self.entered_at.get(retirement.name)
+        if step is not None and entered_at is not None:
+            lasts = max(MIN_STEP_DURATION, MIN_STEP_FRACTION * (following.due - step.due))
+            if now < entered_at + lasts:
                 return False
-        return self.wall() >= following.due
+        return self.wall_time() >= following.due
 
 
 def is_turning_away(step: RetirementStep | None) -> bool:
-    """Returns whether callers are turned away in a step before the end."""
-    return step is not None and step.stage in CALLERS_TURNED_AWAY
+    """Returns whether a step turns callers away before the end of the retirement."""
+    return step is not None and step.stage in STAGES_TURNING_AWAY
--- a/brambleplank/fleet/versions/agreements.py
+++ b/brambleplank/fleet/versions/agreements.py
@@ -1,4 +1,4 @@
-"""The agreements of one process, by their kinds of text."""
+"""The version agreements of one process, one for each kind of text."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Agreements:
-    """Hands messages and changes of leadership to each agreement."""
+    """Passes messages and changes of leadership to the agreements."""
 
     def __init__(self, election: LeaderElection) -> None:
         self.election = election
@@ -29,69 +29,72 @@
         """Adds the agreement on one kind of text."""
         self.by_kind[agreement.identity.kind] = agreement
 
-    def each(self, call: Callable[[VersionAgreement], object]) -> None:
-        """Calls with each agreement."""
+    def for_each(self, call: Callable[[VersionAgreement], object]) -> None:
+        """Calls a function with each agreement."""
         for agreement in self.by_kind.values():
             call(agreement)
 
     def tick(self, now: float) -> None:
-        """Called about every tenth of a second."""
-        self.each(lambda agreement: agreement.tick(now, self.election.leader))
+        """Continues the work of each agreement, about ten times a second."""
+        self.for_each(lambda agreement: agreement.tick(now, self.election.leader))
 
     def report(self, now: float, leader: int | None) -> None:
-        """Reports to the leader, or as the leader to all."""
-        self.each(lambda agreement: agreement.report(now, leader))
+        """Sends the reports to the leader; the leader sends its announcements to all members."""
+        self.for_each(lambda agreement: agreement.report(now, leader))
 
     def become_leader(self, now: float, term: int) -> None:
-        """Begins a term."""
-        self.each(lambda agreement: agreement.proposer.become_leader(now, term))
+        """Starts a term of this process as the leader."""
+        self.for_each(lambda agreement: agreement.proposer.become_leader(now, term))
 
     def step_down(self) -> None:
-        """Ends the term."""
-        self.each(lambda agreement: agreement.proposer.step_down())
+        """Ends the term of this process as the leader."""
+        self.for_each(lambda agreement: agreement.proposer.step_down())
 
-    def note_reachable(self, now: float, who: int) -> None:
-        """Notes that a member is reachable."""
-        self.each(lambda agreement: agreement.proposer.note_reachable(now, who))
+    def note_reachable(self, now: float, sender: int) -> None:
+        """Records that a member is reachable now."""
+        self.for_each(lambda agreement: agreement.proposer.note_reachable(now, sender))
 
     def versions(self) -> dict[str, int]:
-        """Returns the versions in force here, by name."""
+        """Returns the versions in force at this member, by the name of their agreement."""
         return {f"version of {each.identity.name}": each.version for each in self.by_kind.values()}
 
-    def receive(self, now: float, who: int, message: AgreementMessage) -> None:
-        """Takes a message about chunks of texts, which agreements share, or about one kind of text."""
+    def receive(self, now: float, sender: int, message: AgreementMessage) -> None:
+        """Handles a message; those about chunks name no kind of text and go to all agreements."""
         match message:
             case messages.ChunkRequest():
-                self.each(lambda agreement: agreement.texts.send_chunks(who, message))
+                self.for_each(lambda agreement: agreement.texts.send_chunks(sender, message))
             case messages.Chunk():
-                self.each(lambda agreement: agreement.texts.receive_chunk(now, message))
+                self.for_each(lambda agreement: agreement.texts.receive_chunk(now, message))
             case _:
                 agreement = self.by_kind.get(message.kind)
                 if agreement is not None:
-                    self.hand_on(now, who, message, agreement)
+                    self.dispatch(now, sender, message, agreement)
 
-    def hand_on(
+    def dispatch(
         self,
         now: float,
-        who: int,
+        sender: int,
         message: VersionMessage,
         agreement: VersionAgreement,
     ) -> None:
-        """Hands a message to its agreement; what only a leader may say, if it is from the one followed."""
+        """Passes a message to its agreement; publish responses only from the leader that is followed.
+
+        Announcements of other members serve a process that does not know yet which version is in force.
+        """
         followed = self.election.followed
-        is_followed = followed.is_start(who, message.incarnation)
+        is_followed = followed.is_start(sender, message.incarnation)
         match message:
             case messages.VersionAnnouncement():
                 if is_followed and followed.is_elected:
-                    agreement.receive_announcement(who, message)
+                    agreement.receive_announcement(sender, message)
                 elif not agreement.is_current:
-                    agreement.learn_at_start(who, message)
+                    agreement.receive_startup_announcement(sender, message)
             case messages.VersionReport():
-                agreement.proposer.receive_report(now, who, message)
+                agreement.proposer.receive_report(now, sender, message)
             case messages.Vote():
-                agreement.proposer.receive_vote(who, message)
+                agreement.proposer.receive_vote(sender, message)
             case messages.PublishRequest():
-                agreement.proposer.receive_publish_request(who, message)
+                agreement.proposer.receive_publish_request(sender, message)
             case messages.PublishResponse():
                 if is_followed:
                     agreement.receive_publish_response(message)
