--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -163,7 +163,7 @@
         elif self.misbehaviour is Misbehaviour.EARLY_LINE:
             await self.send_open(writer)
             writer.write(b"M 1\r\n")
-        elif self.misbehaviour is Misbehaviour.SECOND_OPENING:
+        elif self.misbehaviour is Misbehaviour.SECOND_OPEN:
             await self.send_open(writer)
             await self.send_open(writer)
         began = time.monotonic()
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -100,7 +100,7 @@
 
     def load(self, servers: Iterable[Server]) -> None:
         """Sets the initial server list."""
-        self.entries = {entry["host"]: (1, entry) for entry in entries_of(servers)}
+        self.entries = {entry["host"]: (1, entry) for entry in current_entries(servers)}
 
     def full_list(self) -> dict[str, Any]:
         """Returns the complete list, in the format of the first response and of a proxy's configuration."""
@@ -220,6 +220,6 @@
     return b"%x\r\n%b\n\r\n" % (len(text) + 1, text.encode())
 
 
-def entries_of(servers: Iterable[Server]) -> list[Entry]:
+def current_entries(servers: Iterable[Server]) -> list[Entry]:
     """Returns the current entries of servers."""
     return [server.entry() for server in servers]
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -302,14 +302,12 @@
             in_window = [other for other in received[number:] if other.received_at <= at + window]
             count = len(in_window)
             capacity_share = 1 - (1 - rules["cold_from"]) * (1 - (at - started) / ramp)
-            max_attempts = rules["overload_factor"] * (self.rate / self.servers) * capacity_share * window
-            max_attempts += (3 if max_attempts < 30 else 2) * sqrt(max_attempts) + (
-                3 if max_attempts < 30 else 2
-            )  # for random variation
-            if count > max_attempts:
+            limit = rules["overload_factor"] * (self.rate / self.servers) * capacity_share * window
+            limit += (3 if limit < 30 else 2) * sqrt(limit) + (3 if limit < 30 else 2)  # for random variation
+            if count > limit:
                 notified = sum(self.was_notified_of_start(attempt, started) for attempt in in_window)
                 if notified > NOTIFIED_SHARE * count:
-                    details = f"{server} had {count} in {window} s, {max_attempts:.1f} allowed"
+                    details = f"{server} had {count} in {window} s, {limit:.1f} allowed"
                     self.report("slow start", f"{details}; {notified} from proxies notified of its start")
                 break
 
--- a/tests/soak/proxies.py
+++ b/tests/soak/proxies.py
@@ -137,8 +137,8 @@
         failing = self.fault_plan.get("fail", {})
         shares = [share for call, (share, _) in failing.items() if call in ("socket", "connect")]
         run = self.current_run
-        update_span(run.unreachable_spans, now, lasts=1.0 in shares)
-        update_span(run.reset_spans, now, lasts="recv" in failing)
+        update_span(run.unreachable_spans, now, is_active=1.0 in shares)
+        update_span(run.reset_spans, now, is_active="recv" in failing)
 
     def upgrade(self) -> None:
         """Starts a new process; the current one runs on until `signal_predecessors`."""
@@ -173,12 +173,12 @@
             self.current_run.peak_descriptors = max(self.current_run.peak_descriptors, open_descriptors)
 
 
-def update_span(spans: list[Span], now: float, lasts: bool) -> None:
-    """Opens a span if the condition lasts and none is open, or closes the open one if it doesn't."""
+def update_span(spans: list[Span], now: float, is_active: bool) -> None:
+    """Opens a span if the condition is_active and none is open, or closes the open one if it doesn't."""
     is_open = bool(spans) and spans[-1][1] == inf
-    if lasts and not is_open:
+    if is_active and not is_open:
         spans.append((now, inf))
-    elif is_open and not lasts:
+    elif is_open and not is_active:
         spans[-1] = (spans[-1][0], now)
 
 
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -21,7 +21,7 @@
     EARLY_LINE = "early"
     SILENCE = "idle"
     CLOSE_AT_ONCE = "gone"
-    SECOND_OPENING = "twice"
+    SECOND_OPEN = "twice"
 
 
 @dataclass
--- a/tests/soak/simulation.py
+++ b/tests/soak/simulation.py
@@ -18,7 +18,7 @@
 
 from tests.relay import DatagramRelay
 from tests.soak.clients import Client
-from tests.soak.discovery import Delivery, DiscoveryAgent, Entry, entries_of
+from tests.soak.discovery import Delivery, DiscoveryAgent, Entry, current_entries
 from tests.soak.drawn_settings import draw_settings
 from tests.soak.proxies import Proxy
 from tests.soak.records import ClientRecord, Misbehaviour, NotifiedChange, Records
@@ -256,12 +256,12 @@
             if self.rng.random() < SHARE_LATE_NOTIFICATION:
                 self.spawn_task(self.notify_late(agent, changed, self.rng.uniform(*LATE_NOTIFICATION)))
             else:
-                self.notify(agent, entries_of(changed))
+                self.notify(agent, current_entries(changed))
 
     async def notify_late(self, agent: DiscoveryAgent, changed: tuple[Server, ...], wait: float) -> None:
         """Sends servers in their state after the delay, so that an older state never follows a newer one."""
         await asyncio.sleep(wait)
-        self.notify(agent, entries_of(changed))
+        self.notify(agent, current_entries(changed))
 
     def notify(self, agent: DiscoveryAgent, entries: list[Entry]) -> None:
         """Sends changes to an agent, and records when its proxy counts as notified."""
@@ -286,7 +286,7 @@
 
     # The run.
 
-    async def watch_lag(self) -> None:
+    async def monitor(self) -> None:
         """Records delays of this process, and from time to time the state of the proxy processes."""
         while not self.is_ending:
             before = time.monotonic()
@@ -304,7 +304,7 @@
         try:
             await self.start()
             background = [
-                asyncio.ensure_future(work) for work in (self.generate_arrivals(), faults, self.watch_lag())
+                asyncio.ensure_future(work) for work in (self.generate_arrivals(), faults, self.monitor())
             ]
             await asyncio.sleep(self.plan.seconds)
             self.is_ending = True
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,12 +13,12 @@
 SEEDS = (3, 11)
 MAX_SEEDS = 9  # seeds tried until a defect is detected
 INVARIANTS = "brambleplank.decisions.request_invariants:RequestInvariants"
-EFFECTS_ARE_IGNORED = {"brambleplank.decisions.idempotency:IdempotencyStage.excludes": "lambda *what: False"}
+IGNORE_IDEMPOTENCY = {"brambleplank.decisions.idempotency:IdempotencyStage.excludes": "lambda *what: False"}
 DEFECTS = {
     # Repeats requests that may have run, with the invariant check disabled.
     "no effect twice": overrides(
         {
-            **EFFECTS_ARE_IGNORED,
+            **IGNORE_IDEMPOTENCY,
             f"{INVARIANTS}.reason_not_to_repeat": "lambda *what: ''",
         }
     ),
@@ -42,7 +42,7 @@
         {"brambleplank.decisions.migration:Migration.begin_shutdown": "lambda *what: None"}
     ),
     # Tries to repeat requests that may have run: the invariant check prevents it and logs a violation.
-    "log": overrides(EFFECTS_ARE_IGNORED),
+    "log": overrides(IGNORE_IDEMPOTENCY),
 }
 
 
@@ -58,15 +58,15 @@
 @pytest.mark.timeout(180)
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_rule_is_broken_while_troubles_overlap(tmp_path: Path, seed: int) -> None:
-    broken_rules, text = run_short(seed, tmp_path)
-    assert not broken_rules, text
+    violated_rules, text = run_short(seed, tmp_path)
+    assert not violated_rules, text
 
 
 @pytest.mark.timeout(180)
 @pytest.mark.parametrize("rule", DEFECTS)
 def test_injected_defect_is_detected(tmp_path: Path, rule: str) -> None:
     for seed in range(1, MAX_SEEDS + 1):  # whether one short run exposes the defect is left to chance
-        broken_rules, text = run_short(seed, tmp_path / str(seed), DEFECTS[rule])
-        if rule in broken_rules:
+        violated_rules, text = run_short(seed, tmp_path / str(seed), DEFECTS[rule])
+        if rule in violated_rules:
             return
     pytest.fail(f"not found: {rule}; {text}")
