--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -148,7 +148,9 @@
             await asyncio.sleep(self.rng.uniform(0.05, 0.4))
 
     async def misbehave(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Behaves as `misbehaviour` requires instead of making a request. Always returns True."""
+        """Performs the misbehaviour, then waits for the proxy to close the connection, unless the client has
+        closed it. Always returns True.
+        """
         if self.misbehaviour is Misbehaviour.HALF_LINE:
             writer.write(f"OPEN {self.request_id} 7f c=feed,d=".encode())
         elif self.misbehaviour is Misbehaviour.NO_PROTOCOL:
--- a/tests/soak/machine_troubles.py
+++ b/tests/soak/machine_troubles.py
@@ -96,7 +96,7 @@
                 proxy.apply_fault_plan(**{**proxy.fault_plan, "wall": wall})
 
     async def partition(self) -> None:
-        """Cuts the links between two halves of the proxies for a while; all other links lose datagrams."""
+        """Cuts the links between two halves of the proxies for a while; other links lose some datagrams."""
         relay = self.simulation.relay
         proxies = len(self.simulation.proxies)
         affected = set(self.rng.sample(range(proxies), proxies // 2))
--- a/tests/soak/proxies.py
+++ b/tests/soak/proxies.py
@@ -18,7 +18,7 @@
 from tests.soak.discovery import DiscoveryAgent
 from tests.soak.records import ProcessRun, Records, Span
 
-# Prefixes each log line with the monotonic time that the records use; the wall clock is stepped by faults.
+# Prefixes each log line with the monotonic time that the records use, as faults step the wall clock.
 MONOTONIC_LOG_PATCH = override(
     "brambleplank.net.log:LogWriter.print_line",
     "staticmethod(lambda line: print(f'{time.monotonic():.3f} {line}', file=sys.stderr, flush=True))",
@@ -30,7 +30,7 @@
 
 
 class Proxy:
-    """A proxy of the tier, with all the processes that run it one after another."""
+    """One proxy of the tier, with its successive processes, which overlap during upgrades."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
 
     @property
     def current_run(self) -> ProcessRun:
-        """The newest process."""
+        """The record of the newest process."""
         return self.runs[-1]
 
     @property
@@ -174,7 +174,7 @@
 
 
 def update_span(spans: list[Span], now: float, is_active: bool) -> None:
-    """Opens a span if the condition is_active and none is open, or closes the open one if it doesn't."""
+    """Opens a span if the condition is active and none is open; closes the open one if it isn't active."""
     is_open = bool(spans) and spans[-1][1] == inf
     if is_active and not is_open:
         spans.append((now, inf))
--- a/tests/soak/proxy_troubles.py
+++ b/tests/soak/proxy_troubles.py
@@ -87,7 +87,7 @@
         run = proxy.current_run
         if process is not None and run.ended_at == inf and proxy.send_signal(signal.SIGSTOP):
             await asyncio.sleep(self.rng.uniform(*SUSPENSION))
-            process.send_signal(signal.SIGCONT)  # not the proxy's newest: it may have been replaced
+            process.send_signal(signal.SIGCONT)  # not via the proxy, which may have a newer process now
             run.suspensions.append((began, time.monotonic()))
 
     async def reload(self) -> None:
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -115,9 +115,7 @@
     sessions_ended_by_server: dict[str, float] = field(default_factory=dict)  # time, by request ID
     server_zones: dict[str, str] = field(default_factory=dict)
     injected_faults: list[tuple[float, str]] = field(default_factory=list)
-    lags: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # start and seconds of each delay of this process
+    lags: list[tuple[float, float]] = field(default_factory=list)  # (start, delay) of this process
 
     @property
     def killed_after_stop(self) -> int:
