--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -69,4 +69,4 @@
         violated_rules, text = run_short(seed, tmp_path / str(seed), DEFECTS[rule])
         if rule in violated_rules:
             return
-    pytest.fail(f"no seed exposed the defect by a violation of {rule!r}; last run: {text}")
+    pytest.fail(f"no seed exposed the defect by a violation of {rule}; last run: {text}")
