--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -52,8 +52,8 @@
     first_server, other_server = StandInServer("UP one"), StandInServer("UP other")
     program = start_operable_program(start_program, first_server, other_server)
     _, watch = program.discovery.accept_watch()
-    running_program = [program.open_request(f"{key:x}") for key in range(16)]
-    assert {client.read_line() for client in running_program} == {"UP one", "UP other"}
+    clients = [program.open_request(f"{key:x}") for key in range(16)]
+    assert {client.read_line() for client in clients} == {"UP one", "UP other"}
     assert (
         send_command(program, "/-/servers/s0/disable")
         == send_command(program, "/-/servers/s%30/disable")
