--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -51,15 +51,16 @@
     drain=Drain(Seconds(1.0)),
     consul=Consul(["127.0.0.1:8500"], ["feeds"]),
 )
-GAP = 0.003  # seconds between two flows
-SETTLED = 0.35  # seconds after a change in which it has to have acted; later flows would still be counted
+FLOW_INTERVAL = 0.003  # seconds between two flows
+# Seconds allowed for a drain to take effect. New flows after that, up to the end of the drain, still count.
+SETTLING_TIME = 0.35
 
 
-def itself(caller: Client) -> Client:
-    return caller
+def given_client(client: Client) -> Client:
+    return client
 
 
-class Drains:
+class DrainMeasurement:
     """Flows all the time, and servers that drain in turn."""
 
     def __init__(self, port: int, count: int) -> None:
@@ -69,39 +70,39 @@
         self.late = 0
         self.rng = random.Random(1)
 
-    async def flows(self) -> None:
+    async def open_flows(self) -> None:
         while True:
-            story = RequestRecord(f"{self.rng.getrandbits(64):x}", "views", time.time())
-            caller = Client(story, f"{self.rng.getrandbits(64):x}", 1.8, 0.0, lambda _: None)
+            record = RequestRecord(f"{self.rng.getrandbits(64):x}", "views", time.time())
+            client = Client(record, f"{self.rng.getrandbits(64):x}", 1.8, 0.0, lambda _: None)
             loop = asyncio.get_running_loop()
-            await loop.create_connection(partial(itself, caller), "127.0.0.1", self.port)
-            await asyncio.sleep(GAP)
+            await loop.create_connection(partial(given_client, client), "127.0.0.1", self.port)
+            await asyncio.sleep(FLOW_INTERVAL)
 
-    async def play(self, change: Any) -> None:
-        calling = asyncio.create_task(self.flows())
+    async def run_drains(self, change: Any) -> None:
+        opener = asyncio.create_task(self.open_flows())
         await asyncio.sleep(1.0)
         for n in range(self.count):
             server = self.servers[n % len(self.servers)]
             at = time.time()
             change(server.name, True)
-            await asyncio.sleep(SETTLED + self.rng.uniform(0, 0.1))
+            await asyncio.sleep(SETTLING_TIME + self.rng.uniform(0, 0.1))
             last = server.openings[-1].at - at if server.openings else 0.0
             self.times.record_value(max(1, round(last * 1e6)))
             self.late += last > FILE.drain.window
             change(server.name, False)
             await asyncio.sleep(0.15)
-        calling.cancel()
+        opener.cancel()
 
 
-async def on_sockets(count: int, folder: Path) -> dict[str, Drains]:
-    found = {}
-    for way, port in (("consul", 27490), ("platform's watch", 27491)):
-        drains = found[way] = Drains(port, count)
+async def measure_drains(count: int, folder: Path) -> dict[str, DrainMeasurement]:
+    measurements = {}
+    for source_name, port in (("consul", 27490), ("platform's watch", 27491)):
+        drains = measurements[source_name] = DrainMeasurement(port, count)
         for server in drains.servers:
             await server.listen()
         command = [sys.executable, "-m", "brambleplank"]
-        given = dict(os.environ)
-        if way == "consul":
+        environment = dict(os.environ)
+        if source_name == "consul":
             agent = StandInConsul()
             await agent.listen()
             for server in drains.servers:
@@ -127,22 +128,22 @@
                 "settings": platform_settings(FILE),
             }
             (folder / "config.json").write_text(json.dumps(config))
-            given["ROUTER_CONFIG"] = str(folder / "config.json")
+            environment["ROUTER_CONFIG"] = str(folder / "config.json")
 
-            def change(name: str, drain: bool, told: StandInDiscovery = discovery) -> None:  # type: ignore[misc]
-                told.set(name, "draining" if drain else "ready")
+            def change(name: str, drain: bool, source: StandInDiscovery = discovery) -> None:  # type: ignore[misc]
+                source.set(name, "draining" if drain else "ready")
 
-        process = subprocess.Popen(command, env=given, stderr=subprocess.DEVNULL)
+        process = subprocess.Popen(command, env=environment, stderr=subprocess.DEVNULL)
         try:
-            await up(port)
-            await drains.play(change)
+            await wait_until_ready(port)
+            await drains.run_drains(change)
         finally:
             process.kill()
             process.wait()
-    return found
+    return measurements
 
 
-async def up(port: int) -> None:
+async def wait_until_ready(port: int) -> None:
     for _ in range(1000):
         try:
             reader, out = await asyncio.open_connection("127.0.0.1", port)
@@ -157,41 +158,43 @@
     raise RuntimeError("the program did not start")
 
 
-class Nobody:
+class NullHost:
     """A host that does nothing: what is timed is the decisions' own work."""
 
     def __getattr__(self, name: str) -> Any:
         return lambda *_: 1.0
 
 
-def cpu_a_change(count: int, rounds: int = 60) -> tuple[float, float, float]:
+def cpu_per_change(count: int, rounds: int = 60) -> tuple[float, float, float]:
     """Milliseconds of CPU that one changed server costs among so many: decoding, weighing, the ring."""
     members = [Member(f"x{n}", f"127.0.{n // 250}.{n % 250 + 1}:7501", "abc"[n % 3]) for n in range(count)]
-    nobody: Any = Nobody()
-    balancer = Balancer(nobody, decode_settings(platform_settings(FILE), sockets=True), 1)
+    null_host: Any = NullHost()
+    balancer = Balancer(null_host, decode_settings(platform_settings(FILE), sockets=True), 1)
     catalog, reader = Catalog(HealthSettings()), answers.AnswerDecoder(answers.MetadataKeys())
     spent = [0.0, 0.0, 0.0]
-    for turn in range(rounds + 1):
-        members[turn % count].maintenance = turn % 2 == 1
+    for round_number in range(rounds + 1):
+        members[round_number % count].maintenance = round_number % 2 == 1
         body = json.dumps([member.item() for member in members]).encode()
-        marks = [time.process_time()]
-        found, _ = reader.decode(body)
-        marks.append(time.process_time())
-        catalog.answer_received(turn * 1.0, "feeds", found, QueryMetadata(0, turn + 1))
-        changes = catalog.changes(turn * 1.0)
-        marks.append(time.process_time())
-        balancer.endpoints_received(turn * 1.0, [change.endpoint for change in changes], False)
-        marks.append(time.process_time())
-        if turn:
+        times = [time.process_time()]
+        instances, _ = reader.decode(body)
+        times.append(time.process_time())
+        catalog.answer_received(round_number * 1.0, "feeds", instances, QueryMetadata(0, round_number + 1))
+        changes = catalog.changes(round_number * 1.0)
+        times.append(time.process_time())
+        balancer.endpoints_received(round_number * 1.0, [change.endpoint for change in changes], False)
+        times.append(time.process_time())
+        if round_number:
             spent = [
                 sum(pair)
-                for pair in zip(spent, (b - a for a, b in zip(marks, marks[1:], strict=False)), strict=True)
+                for pair in zip(spent, (b - a for a, b in zip(times, times[1:], strict=False)), strict=True)
             ]
-    decode, weigh, ring = (each / rounds * 1000 for each in spent)
-    return decode, weigh, ring
+    decode, evaluate, ring = (each / rounds * 1000 for each in spent)
+    return decode, evaluate, ring
 
 
-def bad_hour(figures: HealthSettings, passing_only: bool = False, seed: int = 1) -> tuple[float, int]:
+def simulate_unreliable_hour(
+    settings: HealthSettings, passing_only: bool = False, seed: int = 1
+) -> tuple[float, int]:
     """The share of flows well served in a scripted hour, and how often the list changed.
 
     Well served is who comes to a server that is sound and not over its room.
@@ -205,53 +208,57 @@
     zones = {name: "abc"[n % 3] for n, name in enumerate(names)}
     dead_until, flap_until = dict.fromkeys(names, -1.0), dict.fromkeys(names, -1.0)
     dead_since = dict.fromkeys(names, -1.0)
-    catalog = Catalog(figures)
+    catalog = Catalog(settings)
     state = dict.fromkeys(names, EndpointStatus.READY)
-    good, flows, changed, were = 0.0, 0.0, 0, set(names)
-    for tenth in range(36_000):
-        now = tenth / 10
+    well_served, flow_count, change_count, previously_used = 0.0, 0.0, 0, set(names)
+    for tick in range(36_000):
+        now = tick / 10
         for name in names:
             if now >= flap_until[name] and rng.random() < 0.1 / 40:
                 flap_until[name] = now + rng.uniform(0.2, 0.9)
             if now >= dead_until[name] and rng.random() < 0.1 / 1800:
                 dead_since[name], dead_until[name] = now, now + rng.uniform(10, 60)
 
-        def word(name: str, now: float = now) -> HealthStatus:
-            broken = 1200 <= now < 1800 and zones[name] == "b"
-            all_ill = 2700 <= now < 2730
-            ill = dead_since[name] + 1 <= now < dead_until[name]
+        def reported_status(name: str, now: float = now) -> HealthStatus:
+            zone_critical = 1200 <= now < 1800 and zones[name] == "b"
+            all_critical = 2700 <= now < 2730
+            is_dead = dead_since[name] + 1 <= now < dead_until[name]
             return (
                 HealthStatus.CRITICAL
-                if broken or all_ill or ill or now < flap_until[name]
+                if zone_critical or all_critical or is_dead or now < flap_until[name]
                 else HealthStatus.PASSING
             )
 
-        said = {name: word(name) for name in names}
+        reported = {name: reported_status(name) for name in names}
         catalog.answer_received(
             now,
             "feeds",
             [
-                Instance(name, ("127.0.0.1", 7000 + n), zones[name], status=said[name])
+                Instance(name, ("127.0.0.1", 7000 + n), zones[name], status=reported[name])
                 for n, name in enumerate(names)
             ],
-            QueryMetadata(0, tenth + 1),
+            QueryMetadata(0, tick + 1),
         )
         for change in catalog.changes(now):
             state[change.endpoint.id] = change.endpoint.status
         used = [
             name
             for name in names
-            if (said[name] is HealthStatus.PASSING if passing_only else state[name] is EndpointStatus.READY)
+            if (
+                reported[name] is HealthStatus.PASSING
+                if passing_only
+                else state[name] is EndpointStatus.READY
+            )
         ]
-        changed += len(were ^ set(used))
-        were = set(used)
-        flows += 1
+        change_count += len(previously_used ^ set(used))
+        previously_used = set(used)
+        flow_count += 1
         if used:
-            sound = sum(now >= dead_until[name] for name in used)
+            sound_servers = sum(now >= dead_until[name] for name in used)
             # Two connects a flow, so one dead server of several costs little; too few have too little room.
-            dead = 1 - sound / len(used)
-            good += (1 - dead * dead) * min(1.0, sound / 6)
-    return good / flows, changed
+            dead = 1 - sound_servers / len(used)
+            well_served += (1 - dead * dead) * min(1.0, sound_servers / 6)
+    return well_served / flow_count, change_count
 
 
 def main() -> None:
@@ -259,10 +266,10 @@
     parser.add_argument("--drains", type=int, default=200)
     count = parser.parse_args().drains
     with tempfile.TemporaryDirectory() as folder:
-        drains = asyncio.run(on_sockets(count, Path(folder)))
+        drains = asyncio.run(measure_drains(count, Path(folder)))
     print("| source | drains | last new flow after the change, ms: p50 / p99 / worst | over the window |")
     print("| --- | --- | --- | --- |")
-    for way, each in drains.items():
+    for source_name, each in drains.items():
         times = " / ".join(
             f"{value / 1000:.1f}"
             for value in (
@@ -271,22 +278,24 @@
                 each.times.get_max_value(),
             )
         )
-        print(f"| {way} | {each.count} | {times} | {each.late} |")
+        print(f"| {source_name} | {each.count} | {times} | {each.late} |")
     print("\n| servers | decoding an answer, ms | weighing, ms | list and ring, ms |")
     print("| --- | --- | --- | --- |")
     for servers in (100, 1000, 5000):
-        print(f"| {servers} | " + " | ".join(f"{value:.2f}" for value in cpu_a_change(servers)) + " |")
+        print(f"| {servers} | " + " | ".join(f"{value:.2f}" for value in cpu_per_change(servers)) + " |")
     print("\n| rule | flows well served in the bad hour | servers that came or went |\n| --- | --- | --- |")
-    for name, (share, changed) in (
+    for name, (share, change_count) in (
         (
             "passing only",
-            bad_hour(HealthSettings(min_healthy_share=0.0, settle_time=0.0, recovery_time=0.0), True),
+            simulate_unreliable_hour(
+                HealthSettings(min_healthy_share=0.0, settle_time=0.0, recovery_time=0.0), True
+            ),
         ),
-        ("no damping", bad_hour(HealthSettings(settle_time=0.0, recovery_time=0.0))),
-        ("no share of healthy", bad_hour(HealthSettings(min_healthy_share=0.0))),
-        ("as it is", bad_hour(HealthSettings())),
+        ("no damping", simulate_unreliable_hour(HealthSettings(settle_time=0.0, recovery_time=0.0))),
+        ("no share of healthy", simulate_unreliable_hour(HealthSettings(min_healthy_share=0.0))),
+        ("as it is", simulate_unreliable_hour(HealthSettings())),
     ):
-        print(f"| {name} | {share:.4f} | {changed} |")
+        print(f"| {name} | {share:.4f} | {change_count} |")
 
 
 if __name__ == "__main__":
--- a/benchmarks/elections.py
+++ b/benchmarks/elections.py
@@ -20,8 +20,8 @@
     from benchmarks.fleet_simulation import FleetSimulation, SimulatedMember
 
 STEP = 0.05  # seconds between two looks
-SETTLE = 20.0  # seconds for a first leader
-WATCHED = 60.0  # seconds after the fault
+SETTLING_TIME = 20.0  # seconds for a first leader
+OBSERVATION_TIME = 60.0  # seconds after the fault
 LOSSES = (0.0, 0.1, 0.2, 0.3)
 FAULTS = (
     "none",
@@ -42,15 +42,15 @@
 
 
 @dataclass
-class Play:
+class FaultResult:
     """What one seed came to, in seconds."""
 
-    replaced: float  # until another member led; infinite if none did
-    longest: float  # without a leader, on end
-    absent: float  # without a leader, in all
+    replacement_time: float  # until another member led; infinite if none did
+    longest_gap: float  # without a leader, on end
+    leaderless_time: float  # without a leader, in all
 
 
-def play(seed: int, fault: str, links: Links, members: int = 5) -> Play:
+def simulate_fault(seed: int, fault: str, links: Links, members: int = 5) -> FaultResult:
     """Plays one fleet with one fault."""
     from benchmarks.fleet_simulation import FleetSimulation  # after --quick has changed the times
 
@@ -58,25 +58,25 @@
     simulation.links.loss = links.loss
     simulation.links.max_delay = links.max_delay
     simulation.links.duplication = links.duplication
-    simulation.run(SETTLE * timing.LEASE_DURATION / 4)
-    leader = inject(simulation, fault, members)
-    began = simulation.now
-    last = simulation.now  # when a member led
-    result = Play(float("inf"), 0.0, 0.0)
-    while simulation.now < began + WATCHED:
+    simulation.run(SETTLING_TIME * timing.LEASE_DURATION / 4)
+    leader = inject_fault(simulation, fault, members)
+    fault_at = simulation.now
+    last_led_at = simulation.now  # when a member led
+    result = FaultResult(float("inf"), 0.0, 0.0)
+    while simulation.now < fault_at + OBSERVATION_TIME:
         simulation.run(STEP)
-        leads_now = simulation.leader()
-        if leads_now is None:
-            result.absent += STEP
+        current_leader = simulation.leader()
+        if current_leader is None:
+            result.leaderless_time += STEP
         else:
-            last = simulation.now
-            if leads_now is not leader:
-                result.replaced = min(result.replaced, simulation.now - began)
-        result.longest = max(result.longest, simulation.now - last)
+            last_led_at = simulation.now
+            if current_leader is not leader:
+                result.replacement_time = min(result.replacement_time, simulation.now - fault_at)
+        result.longest_gap = max(result.longest_gap, simulation.now - last_led_at)
     return result
 
 
-def inject(simulation: FleetSimulation, fault: str, members: int) -> SimulatedMember:
+def inject_fault(simulation: FleetSimulation, fault: str, members: int) -> SimulatedMember:
     """Cuts links by the name of a fault, and returns the member that led then."""
     leader = wait_for_leader(simulation)
     member = (leader.number + 1) % members
@@ -123,13 +123,14 @@
     for fault in FAULTS:
         for loss in LOSSES:
             links = Links(loss, 0.1, 0.3) if args.quick else Links(loss)
-            plays = [
-                play(seed, fault, links, args.members) for seed in range(args.first, args.first + args.seeds)
+            results = [
+                simulate_fault(seed, fault, links, args.members)
+                for seed in range(args.first, args.first + args.seeds)
             ]
-            absent = sum(each.absent for each in plays) / len(plays)
+            leaderless_time = sum(each.leaderless_time for each in results) / len(results)
             print(
-                f"{fault:24} {loss:4.0%}  {summary([each.replaced for each in plays])}   "
-                f"{summary([each.longest for each in plays])}   {absent:5.2f}",
+                f"{fault:24} {loss:4.0%}  {summary([each.replacement_time for each in results])}   "
+                f"{summary([each.longest_gap for each in results])}   {leaderless_time:5.2f}",
                 flush=True,
             )
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,16 +25,16 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from benchmarks.fleet_logs import Ended, FleetLog, Outcome, Run, read_fleet
+from benchmarks.fleet_logs import FleetLog, Outcome, RequestEnd, Run, read_fleet
 
-WIDEST, NARROWEST = 24, 6  # characters of a column
-MOST_COLUMNS = 14  # of a table whose columns are not given
-YOUNG = 3.0  # seconds for which a process counts as just restarted
-FIRST_START, RESTARTED = "not restarted", "restarted"
+MAX_COLUMN_WIDTH, MIN_COLUMN_WIDTH = 24, 6  # characters of a column
+MAX_COLUMNS = 14  # of a table whose columns are not given
+DEFAULT_YOUNG_AGE = 3.0  # seconds for which a process counts as just restarted
+NOT_RESTARTED, RESTARTED = "not restarted", "restarted"
 UNKNOWN = "unknown"
-CAME = ("asked", "established", "no-try", "tried", "aborted", "gave-up", "attempts", "failed")
-ENDED = ("ended", "served", "moved", "client-end", "lost")
-STATE = ("gates", "processes")
+ARRIVAL_COLUMNS = ("asked", "established", "no-try", "tried", "aborted", "gave-up", "attempts", "failed")
+END_COLUMNS = ("ended", "served", "moved", "client-end", "lost")
+PROCESS_COLUMNS = ("gates", "processes")
 NOT_LOGGED = (
     "sessions that stood at the end of the logs, or in a process that was killed, have no line",
     "when a session was established is not told: it counts in the second in which its request came in",
@@ -48,12 +48,12 @@
 
 
 @dataclass(frozen=True)
-class Happening:
+class CountedEvent:
     """Something that a table counts: in which column, when, and of which request."""
 
     column: str
     at: float
-    end: Ended
+    end: RequestEnd
     count: int = 1
 
 
@@ -64,33 +64,33 @@
     log: FleetLog
     young: float
 
-    def age(self, happening: Happening) -> str:
+    def age(self, event: CountedEvent) -> str:
         """Whether its process has just been restarted."""
-        run = happening.end.run
+        run = event.end.run
         if run.number == 0:
-            return FIRST_START
-        fresh = happening.at - run.began < self.young
-        return f"{RESTARTED} < {self.young:g} s" if fresh else f"{RESTARTED}, older"
+            return NOT_RESTARTED
+        is_young = event.at - run.started_at < self.young
+        return f"{RESTARTED} < {self.young:g} s" if is_young else f"{RESTARTED}, older"
 
-    def service_type(self, happening: Happening) -> str:
-        return type_of(self.log, happening.end.request_id)
+    def service_type(self, event: CountedEvent) -> str:
+        return type_of(self.log, event.end.request_id)
 
-    def second(self, happening: Happening) -> str:
-        return second_of(self.log, happening.at)
+    def second(self, event: CountedEvent) -> str:
+        return second_of(self.log, event.at)
 
-    def server(self, happening: Happening) -> str:
-        return happening.end.server
+    def server(self, event: CountedEvent) -> str:
+        return event.end.server
 
-    def process(self, happening: Happening) -> str:
-        return happening.end.run.process
+    def process(self, event: CountedEvent) -> str:
+        return event.end.run.process
 
-    def reason(self, happening: Happening) -> str:
-        return reason_of(happening.end)
+    def reason(self, event: CountedEvent) -> str:
+        return reason_of(event.end)
 
 
 def second_of(log: FleetLog, at: float) -> str:
     """The second of the day, as rows are named."""
-    return f"{int(at - log.zero):3d}"
+    return f"{int(at - log.day_start):3d}"
 
 
 def type_of(log: FleetLog, request_id: str) -> str:
@@ -99,64 +99,64 @@
     return request.service_type if request else UNKNOWN
 
 
-def reason_of(end: Ended) -> str:
+def reason_of(end: RequestEnd) -> str:
     """Why a request ended as it did, as far as its process's log tells."""
     if end.outcome is not Outcome.REJECTED:
         return end.code
     run, tries = end.run, "tried" if end.attempts else "no try"
-    if run.gate_narrow(end.at):
+    if run.is_limited(end.at):
         state = "gate narrow"
-    elif run.stop_told is not None and end.at >= run.stop_told:
+    elif run.stop_requested_at is not None and end.at >= run.stop_requested_at:
         state = "stopping"
-    elif run.gate_narrow(end.came):
+    elif run.is_limited(end.arrived_at):
         state = "gate narrow as it came"
     else:
         state = "gate open"
     return f"rejected, {tries}, {state}"
 
 
-def column_of_arrival(end: Ended) -> str | None:
+def arrival_column(end: RequestEnd) -> str | None:
     """Where a request counts by the second in which it came in, beside `asked`."""
     if end.established:
         return "established"
     if end.outcome is Outcome.REJECTED:
         return "tried" if end.attempts else "no-try"
-    return end.outcome.value if end.outcome.value in CAME else None
+    return end.outcome.value if end.outcome.value in ARRIVAL_COLUMNS else None
 
 
-def happenings(log: FleetLog) -> Iterator[Happening]:
+def counted_events(log: FleetLog) -> Iterator[CountedEvent]:
     """All that a table counts of requests. Connections that never brought a request are left out."""
     for end in log.ends:
         if end.outcome is Outcome.BAD_CLIENT:
             continue
-        yield Happening("asked", end.came, end)
-        if column := column_of_arrival(end):
-            yield Happening(column, end.came, end)
-        yield Happening("attempts", end.came, end, end.attempts)
-        yield Happening("failed", end.came, end, end.attempts - end.established)
-        yield Happening("ended", end.at, end)
-        if end.outcome.value in ENDED:
-            yield Happening(end.outcome.value, end.at, end)
+        yield CountedEvent("asked", end.arrived_at, end)
+        if column := arrival_column(end):
+            yield CountedEvent(column, end.arrived_at, end)
+        yield CountedEvent("attempts", end.arrived_at, end, end.attempts)
+        yield CountedEvent("failed", end.arrived_at, end, end.attempts - end.established)
+        yield CountedEvent("ended", end.at, end)
+        if end.outcome.value in END_COLUMNS:
+            yield CountedEvent(end.outcome.value, end.at, end)
 
 
 Rows = dict[str, Counter[str]]
 
 
-def count(found: Iterator[Happening], key: Callable[[Happening], str]) -> Rows:
+def count(found: Iterator[CountedEvent], key: Callable[[CountedEvent], str]) -> Rows:
     """Rows by key, in the order of their names."""
     rows: Rows = {}
-    for happening in found:
-        rows.setdefault(key(happening), Counter())[happening.column] += happening.count
+    for event in found:
+        rows.setdefault(key(event), Counter())[event.column] += event.count
     return dict(sorted(rows.items()))
 
 
-def add_state(log: FleetLog, rows: Rows) -> None:
+def add_process_counts(log: FleetLog, rows: Rows) -> None:
     """How many processes run, and how many with a narrow gate, at the end of each second of a table."""
     for second, row in rows.items():
-        at = log.zero + int(second) + 1
+        at = log.day_start + int(second) + 1
         alive = [run for run in log.runs if run.alive(at)]
         row["processes"] = len(alive)
-        row["gates"] = sum(run.gate_narrow(at) for run in alive)
+        row["gates"] = sum(run.is_limited(at) for run in alive)
 
 
 def attempts_by_result(log: FleetLog, by_second: bool) -> Rows:
@@ -168,59 +168,61 @@
     return dict(sorted(rows.items()))
 
 
-def notes_by_second(log: FleetLog) -> Rows:
+def other_lines_by_second(log: FleetLog) -> Rows:
     """What processes said otherwise, shortened to its first words, by second."""
     rows: Rows = {}
-    for note in log.notes:
-        words = note.text.partition(":")[0] if note.server == "-" else note.text
-        rows.setdefault(second_of(log, note.at), Counter())[words] += 1
+    for other_line in log.other_lines:
+        words = other_line.text.partition(":")[0] if other_line.server == "-" else other_line.text
+        rows.setdefault(second_of(log, other_line.at), Counter())[words] += 1
     return dict(sorted(rows.items()))
 
 
 def table(rows: Rows, name: str, columns: tuple[str, ...] = (), without_total: tuple[str, ...] = ()) -> str:
     """Rows and their total; with no columns given, those with the largest totals."""
     total: Counter[str] = sum(rows.values(), Counter())
-    columns = columns or tuple(column for column, _ in total.most_common(MOST_COLUMNS))
+    columns = columns or tuple(column for column, _ in total.most_common(MAX_COLUMNS))
     for column in without_total:
         total[column] = 0
     width = max(len(label) for label in (name, "all", *rows))
-    widths = {column: max(len(column[:WIDEST]), NARROWEST) for column in columns}
-    lines = [f"{name:>{width}} " + " ".join(f"{column[:WIDEST]:>{widths[column]}}" for column in columns)]
+    widths = {column: max(len(column[:MAX_COLUMN_WIDTH]), MIN_COLUMN_WIDTH) for column in columns}
+    lines = [
+        f"{name:>{width}} " + " ".join(f"{column[:MAX_COLUMN_WIDTH]:>{widths[column]}}" for column in columns)
+    ]
     for key, row in [*rows.items(), ("all", total)]:
         cells = (f"{row[column] or '':>{widths[column]}}" for column in columns)
         lines.append(f"{key:>{width}} " + " ".join(cells))
     return "\n".join(lines)
 
 
-def follow(log: FleetLog, request_id: str) -> list[str]:
+def request_lines(log: FleetLog, request_id: str) -> list[str]:
     """All lines of a request and, where keys are traced, of the same client's others, in order of time."""
-    wanted = {request_id}
+    request_ids = {request_id}
     if request := log.requests.get(request_id):
-        wanted |= {each.request_id for each in log.requests.values() if each.key == request.key}
+        request_ids |= {each.request_id for each in log.requests.values() if each.key == request.key}
     return [
-        f"{line.at - log.zero:8.3f} {line.process:>6} {line.text}"
+        f"{line.at - log.day_start:8.3f} {line.process:>6} {line.text}"
         for line in log.lines
-        if wanted.intersection(line.text.split())
+        if request_ids.intersection(line.text.split())
     ]
 
 
-def ages(runs: list[Run]) -> str:
+def process_counts(runs: list[Run]) -> str:
     """How many processes started, and were started anew."""
     return f"{sum(run.number == 0 for run in runs)} processes, {sum(run.number > 0 for run in runs)} restarts"
 
 
-def foot(log: FleetLog) -> list[str]:
+def missing_data_lines(log: FleetLog) -> list[str]:
     """What the logs do not have."""
-    lines = [ages(log.runs)]
-    if log.dropped or log.unread:
-        lines.append(f"{log.dropped} lines dropped by processes, {log.unread} of no known form")
+    lines = [process_counts(log.runs)]
+    if log.dropped or log.unrecognized:
+        lines.append(f"{log.dropped} lines dropped by processes, {log.unrecognized} of no known form")
     missing = NOT_LOGGED if log.traced else NOT_LOGGED + NOT_LOGGED_UNTRACED
     return lines + [f"not in these logs: {what}" for what in missing]
 
 
 def tables(log: FleetLog, grouping: Grouping, by: str, split: str | None) -> Iterator[str]:
     """The tables that were asked for."""
-    keys: dict[str, Callable[[Happening], str]] = {
+    keys: dict[str, Callable[[CountedEvent], str]] = {
         "second": grouping.second,
         "age": grouping.age,
         "type": grouping.service_type,
@@ -228,18 +230,20 @@
         "process": grouping.process,
         "reason": grouping.reason,
     }
-    found = list(happenings(log))
+    found = list(counted_events(log))
     parts = sorted({keys[split](each) for each in found}) if split else [""]
     for part in parts:
         rows = count((each for each in found if not split or keys[split](each) == part), keys[by])
-        state = STATE if by == "second" and not split else ()
+        state = PROCESS_COLUMNS if by == "second" and not split else ()
         if state:
-            add_state(log, rows)
-        yield (f"{part}\n" if part else "") + table(rows, by, CAME + ENDED + state, STATE)
+            add_process_counts(log, rows)
+        yield (f"{part}\n" if part else "") + table(
+            rows, by, ARRIVAL_COLUMNS + END_COLUMNS + state, PROCESS_COLUMNS
+        )
     if log.attempts and by in ("second", "type"):
         yield "attempts by result\n" + table(attempts_by_result(log, by == "second"), by)
-    if by == "second" and log.notes:
-        yield "other lines\n" + table(notes_by_second(log), by)
+    if by == "second" and log.other_lines:
+        yield "other lines\n" + table(other_lines_by_second(log), by)
 
 
 def read_arguments() -> argparse.Namespace:
@@ -250,28 +254,28 @@
     rows = ("second", "age", "type", "server", "process", "reason")
     parser.add_argument("--by", choices=rows, default="second")
     parser.add_argument("--split", choices=("age", "type"))
-    parser.add_argument("--young", type=float, default=YOUNG)
+    parser.add_argument("--young", type=float, default=DEFAULT_YOUNG_AGE)
     parser.add_argument("--request")
-    asked = parser.parse_args()
-    if not asked.logs.is_dir():
-        parser.exit(2, f"{asked.logs}: no folder of logs\n")
-    return asked
+    arguments = parser.parse_args()
+    if not arguments.logs.is_dir():
+        parser.exit(2, f"{arguments.logs}: no folder of logs\n")
+    return arguments
 
 
 def main() -> None:
     """Print what was asked for; exit code 2 if there is nothing to print."""
-    asked = read_arguments()
-    log = read_fleet(asked.logs)
+    arguments = read_arguments()
+    log = read_fleet(arguments.logs)
     if not log.lines:
-        print(f"{asked.logs}: no line of a process in it", file=sys.stderr)
+        print(f"{arguments.logs}: no line of a process in it", file=sys.stderr)
         raise SystemExit(2)
-    if asked.request:
-        lines = follow(log, asked.request)
-        print("\n".join(lines) or f"{asked.request}: in no line")
+    if arguments.request:
+        lines = request_lines(log, arguments.request)
+        print("\n".join(lines) or f"{arguments.request}: in no line")
         return
-    for each in tables(log, Grouping(log, asked.young), asked.by, asked.split):
+    for each in tables(log, Grouping(log, arguments.young), arguments.by, arguments.split):
         print(each, end="\n\n")
-    print("\n".join(foot(log)))
+    print("\n".join(missing_data_lines(log)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_logs.py
+++ b/benchmarks/fleet_logs.py
@@ -32,15 +32,15 @@
     r"trace attempt (?P<id>\S+) number=(?P<number>\d+) server=(?P<server>\S+) result=(?P<result>\S+)"
     r" delay=(?P<delay>\d+\.\d+)"
 )
-ABOUT_SERVER = re.compile(r"(?P<server>\S+) (?P<what>ejected: .+|reinstated|drops connections)")
-OTHER_NOTE = re.compile(r"(?:concurrency limit|fleet|list|fault|shutdown|start|reload|log)\b.*")
+SERVER_LINE = re.compile(r"(?P<server>\S+) (?P<what>ejected: .+|reinstated|drops connections)")
+OTHER_LINE = re.compile(r"(?:concurrency limit|fleet|list|fault|shutdown|start|reload|log)\b.*")
 DROPPED = re.compile(r"log: (?P<lines>\d+) lines dropped")
 
-GATE_NARROWS = "concurrency limit below one"
-GATE_OPENS = "concurrency limit at one again"
-STOP_BEGINS = "shutdown: requested"
-STOP_ENDS = "shutdown: drained"
-LAST_LINE = "list: ended"  # may come after the end of a stop
+LIMIT_BELOW_ONE = "concurrency limit below one"
+LIMIT_RESTORED = "concurrency limit at one again"
+STOP_REQUESTED = "shutdown: requested"
+STOP_COMPLETED = "shutdown: drained"
+LIST_ENDED = "list: ended"  # may come after the end of a stop
 PING = "pinged"  # the bench's front pings a process once after each start, before it sends clients
 
 
@@ -49,7 +49,7 @@
 
     SERVED = "served"
     MOVED = "moved"
-    CLIENT_ENDED = "client-end"
+    CLIENT_CLOSED = "client-end"
     LOST = "lost"
     REJECTED = "rejected"
     ABORTED = "aborted"
@@ -61,8 +61,8 @@
     "bye": Outcome.SERVED,
     "moved": Outcome.MOVED,
     "drained": Outcome.MOVED,
-    "closed": Outcome.CLIENT_ENDED,
-    "reset": Outcome.CLIENT_ENDED,
+    "closed": Outcome.CLIENT_CLOSED,
+    "reset": Outcome.CLIENT_CLOSED,
     "broke": Outcome.LOST,
     "error": Outcome.LOST,
     "unplaced": Outcome.LOST,
@@ -80,22 +80,22 @@
 
     process: str
     number: int  # 0: its first start in these logs
-    began: float
+    started_at: float
     pinged: bool = False
-    stop_told: float | None = None
-    ended: float | None = None
-    gate_turns: list[float] = field(default_factory=list)  # narrows, opens, narrows, ...
+    stop_requested_at: float | None = None
+    ended_at: float | None = None
+    limit_changes: list[float] = field(default_factory=list)  # narrows, opens, narrows, ...
 
-    def gate_narrow(self, at: float) -> bool:
+    def is_limited(self, at: float) -> bool:
         """Whether its gate is narrow at this time."""
-        return bisect_right(self.gate_turns, at) % 2 == 1
+        return bisect_right(self.limit_changes, at) % 2 == 1
 
     def alive(self, at: float) -> bool:
-        return self.began <= at and (self.ended is None or at < self.ended)
+        return self.started_at <= at and (self.ended_at is None or at < self.ended_at)
 
-    def turn_gate(self, at: float, narrow: bool) -> None:
-        if narrow != (len(self.gate_turns) % 2 == 1):
-            self.gate_turns.append(at)
+    def record_limit_change(self, at: float, limited: bool) -> None:
+        if limited != (len(self.limit_changes) % 2 == 1):
+            self.limit_changes.append(at)
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,7 +125,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class RequestEnd:
     """The end of a client's connection."""
 
     at: float
@@ -137,7 +137,7 @@
     age: float
 
     @property
-    def came(self) -> float:
+    def arrived_at(self) -> float:
         """When its request came in."""
         return self.at - self.age
 
@@ -151,7 +151,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class OtherLine:
     """Any other line that tells something, about one server or (`-`) about none."""
 
     at: float
@@ -161,7 +161,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """A line as it stands, for what is printed unchanged."""
 
     at: float
@@ -173,15 +173,15 @@
 class FleetLog:
     """All that the logs of a fleet tell."""
 
-    zero: float = 0.0  # Unix time at which the day begins
+    day_start: float = 0.0  # Unix time at which the day begins
     runs: list[Run] = field(default_factory=list)
-    ends: list[Ended] = field(default_factory=list)
-    notes: list[Note] = field(default_factory=list)
+    ends: list[RequestEnd] = field(default_factory=list)
+    other_lines: list[OtherLine] = field(default_factory=list)
     requests: dict[str, TracedRequest] = field(default_factory=dict)
     attempts: list[TracedAttempt] = field(default_factory=list)
-    lines: list[Line] = field(default_factory=list)
+    lines: list[LogLine] = field(default_factory=list)
     dropped: int = 0  # lines that processes say they have not written
-    unread: int = 0  # lines of no known form
+    unrecognized: int = 0  # lines of no known form
 
     @property
     def traced(self) -> bool:
@@ -191,21 +191,23 @@
 class ProcessReader:
     """Reads the log of one process name into the log of the fleet."""
 
-    def __init__(self, fleet: FleetLog, process: str) -> None:
-        self.fleet, self.process = fleet, process
+    def __init__(self, fleet_log: FleetLog, process: str) -> None:
+        self.fleet_log, self.process = fleet_log, process
         self.run: Run | None = None
 
     def read(self, at: float, text: str) -> None:
         """One line of the log, in its order."""
-        self.fleet.lines.append(Line(at, self.process, text))
+        self.fleet_log.lines.append(LogLine(at, self.process, text))
         end = END.fullmatch(text)
         run = self._run_of(at, text, pinged=end is not None and end["code"] == PING)
         if end:
-            self.fleet.ends.append(
-                Ended(at, run, end["code"], end["id"], end["server"], int(end["connects"]), float(end["age"]))
+            self.fleet_log.ends.append(
+                RequestEnd(
+                    at, run, end["code"], end["id"], end["server"], int(end["connects"]), float(end["age"])
+                )
             )
-        elif not self._trace(at, run, text):
-            self._note(at, run, text)
+        elif not self._read_trace(at, run, text):
+            self._read_other_line(at, run, text)
 
     def _run_of(self, at: float, text: str, pinged: bool) -> Run:
         """The run that a line belongs to.
@@ -215,21 +217,21 @@
         run = self.run
         if run is None:
             run = self._begin(at, 0)
-        elif (run.ended is not None and text != LAST_LINE) or (pinged and run.pinged):
-            if run.ended is None:
-                run.ended = at
+        elif (run.ended_at is not None and text != LIST_ENDED) or (pinged and run.pinged):
+            if run.ended_at is None:
+                run.ended_at = at
             run = self._begin(at, run.number + 1)
         run.pinged = run.pinged or pinged
         return run
 
     def _begin(self, at: float, number: int) -> Run:
         self.run = Run(self.process, number, at)
-        self.fleet.runs.append(self.run)
+        self.fleet_log.runs.append(self.run)
         return self.run
 
-    def _trace(self, at: float, run: Run, text: str) -> bool:
+    def _read_trace(self, at: float, run: Run, text: str) -> bool:
         if request := TRACED_REQUEST.fullmatch(text):
-            self.fleet.requests[request["id"]] = TracedRequest(
+            self.fleet_log.requests[request["id"]] = TracedRequest(
                 at,
                 run,
                 request["id"],
@@ -240,37 +242,37 @@
                 request["again"] == "1",
             )
         elif attempt := TRACED_ATTEMPT.fullmatch(text):
-            self.fleet.attempts.append(
+            self.fleet_log.attempts.append(
                 TracedAttempt(
                     at, run, attempt["id"], attempt["server"], attempt["result"], float(attempt["delay"])
                 )
             )
         return bool(request or attempt)
 
-    def _note(self, at: float, run: Run, text: str) -> None:
-        if about := ABOUT_SERVER.fullmatch(text):
-            self.fleet.notes.append(Note(at, run, about["server"], about["what"]))
-        elif OTHER_NOTE.fullmatch(text):
-            self.fleet.notes.append(Note(at, run, "-", text))
-            self._follow(at, run, text)
+    def _read_other_line(self, at: float, run: Run, text: str) -> None:
+        if about := SERVER_LINE.fullmatch(text):
+            self.fleet_log.other_lines.append(OtherLine(at, run, about["server"], about["what"]))
+        elif OTHER_LINE.fullmatch(text):
+            self.fleet_log.other_lines.append(OtherLine(at, run, "-", text))
+            self._update_run(at, run, text)
         else:
-            self.fleet.unread += 1
-
-    def _follow(self, at: float, run: Run, text: str) -> None:
-        if text.startswith(GATE_NARROWS):
-            run.turn_gate(at, narrow=True)
-        elif text.startswith(GATE_OPENS):
-            run.turn_gate(at, narrow=False)
-        elif text == STOP_BEGINS:
-            run.stop_told = at
-        elif text == STOP_ENDS:
-            run.ended = at
+            self.fleet_log.unrecognized += 1
+
+    def _update_run(self, at: float, run: Run, text: str) -> None:
+        if text.startswith(LIMIT_BELOW_ONE):
+            run.record_limit_change(at, limited=True)
+        elif text.startswith(LIMIT_RESTORED):
+            run.record_limit_change(at, limited=False)
+        elif text == STOP_REQUESTED:
+            run.stop_requested_at = at
+        elif text == STOP_COMPLETED:
+            run.ended_at = at
         elif dropped := DROPPED.fullmatch(text):
-            self.fleet.dropped += int(dropped["lines"])
+            self.fleet_log.dropped += int(dropped["lines"])
 
 
 @dataclass(frozen=True, slots=True)
-class _Stamped:
+class _TimedLine:
     """A line of a log with its time and, where it tells one, the second of the day."""
 
     at: float
@@ -278,29 +280,29 @@
     text: str
 
 
-def _stamped(lines: Iterable[str], fleet: FleetLog) -> Iterator[_Stamped]:
+def _timed_lines(lines: Iterable[str], fleet_log: FleetLog) -> Iterator[_TimedLine]:
     for line in lines:
         if found := TIMED.fullmatch(line.rstrip()):
             day = SECOND_OF_DAY.fullmatch(found["before"] or "")
-            yield _Stamped(float(found["at"]), float(day["second"]) if day else None, found["text"])
+            yield _TimedLine(float(found["at"]), float(day["second"]) if day else None, found["text"])
         elif line.strip():
-            fleet.unread += 1
+            fleet_log.unrecognized += 1
 
 
 def read_fleet(folder: Path) -> FleetLog:
     """Read each file of a folder as the log of one process; its name without suffix is the process's."""
-    fleet = FleetLog()
+    fleet_log = FleetLog()
     zeros: list[float] = []
     for path in filter(Path.is_file, sorted(folder.iterdir())):
-        reader = ProcessReader(fleet, path.stem)
-        for stamped in _stamped(path.read_text(errors="replace").splitlines(), fleet):
-            reader.read(stamped.at, stamped.text)
-            zeros.append(stamped.at - (stamped.day or 0.0))
-    fleet.zero = min(zeros, default=0.0)
-    for records in (fleet.ends, fleet.notes, fleet.attempts, fleet.lines):
-        records.sort(key=_time_of)
-    return fleet
+        reader = ProcessReader(fleet_log, path.stem)
+        for timed_line in _timed_lines(path.read_text(errors="replace").splitlines(), fleet_log):
+            reader.read(timed_line.at, timed_line.text)
+            zeros.append(timed_line.at - (timed_line.day or 0.0))
+    fleet_log.day_start = min(zeros, default=0.0)
+    for records in (fleet_log.ends, fleet_log.other_lines, fleet_log.attempts, fleet_log.lines):
+        records.sort(key=_record_time)
+    return fleet_log
 
 
-def _time_of(record: Ended | Note | TracedAttempt | Line) -> float:
+def _record_time(record: RequestEnd | OtherLine | TracedAttempt | LogLine) -> float:
     return record.at
--- a/benchmarks/fleet_simulation.py
+++ b/benchmarks/fleet_simulation.py
@@ -82,7 +82,7 @@
             for n in range(members)
         ]
         self.spent_at: dict[str, deque[float]] = {budget.name: deque() for budget in budgets}
-        self.unexpired: Counter[str] = Counter()  # units of ended processes, not known to be free
+        self.expiring_units: Counter[str] = Counter()  # units of ended processes, not known to be free
         self.peak_use: Counter[str] = Counter()  # in any window, or at any instant
         self.served = 0
         self.refused = 0
@@ -154,9 +154,9 @@
         held = node.held
         node.held = Counter()
         for name, count in held.items():
-            self.unexpired[name] += count
+            self.expiring_units[name] += count
         expires_at = self.now + self.rng.choice([0.01, 0.5, 0.99]) * CONNECTION_EXPIRY
-        self.at(expires_at, lambda: self.unexpired.subtract(held))
+        self.at(expires_at, lambda: self.expiring_units.subtract(held))
 
     def stall(self, node: SimulatedMember, seconds: float) -> None:
         """Stops a member's process for a time."""
@@ -223,14 +223,14 @@
         """Returns the units in use over the fleet, one of which was taken now."""
         if not budget.window:
             open_units = sum(node.held[budget.name] for node in self.nodes)
-            return open_units + self.unexpired[budget.name]
+            return open_units + self.expiring_units[budget.name]
         spent_at = self.spent_at[budget.name]
         spent_at.append(self.now)
         while spent_at[0] <= self.now - budget.window:
             spent_at.popleft()
         return len(spent_at)
 
-    def give_back(self, node: SimulatedMember, name: str) -> None:
+    def release(self, node: SimulatedMember, name: str) -> None:
         """Frees one open unit of a member, if it has one."""
         if node.fleet is not None and self.is_running(node) and node.held[name]:
             node.held[name] -= 1
@@ -255,19 +255,19 @@
         return next((node for node in self.nodes if self.is_running(node) and self.is_leader(node)), None)
 
 
-def play_random_faults(simulation: FleetSimulation, steps: int, rng: Random) -> None:
+def inject_random_faults(simulation: FleetSimulation, steps: int, rng: Random) -> None:
     """Faults and demand by chance: kills, restarts, stalls, cuts either way, loss, repeats, late messages."""
     nodes = simulation.nodes
-    greedy = nodes
+    acquiring = nodes
     for _ in range(steps):
         kind = rng.random()
         node = rng.choice(nodes)
         if not inject_fault(simulation, kind, node, rng) and kind < 0.44:
-            greedy = rng.sample(nodes, rng.randint(1, len(nodes)))
+            acquiring = rng.sample(nodes, rng.randint(1, len(nodes)))
         for each in nodes:
             if each.fleet is None and rng.random() < 0.3:
                 simulation.start(each)
-        use_budgets(simulation, greedy, rng)
+        use_budgets(simulation, acquiring, rng)
 
 
 def inject_fault(simulation: FleetSimulation, kind: float, node: SimulatedMember, rng: Random) -> bool:
@@ -301,18 +301,18 @@
     return True
 
 
-def use_budgets(simulation: FleetSimulation, greedy: list[SimulatedMember], rng: Random) -> None:
+def use_budgets(simulation: FleetSimulation, acquiring: list[SimulatedMember], rng: Random) -> None:
     """Lets some members take and give back units of all budgets for a while."""
     for _ in range(rng.choice([1, 4, 40])):
         simulation.run(rng.choice([0.01, 0.1, 0.3]))
         for budget in simulation.budgets:
             for _ in range(rng.choice([0, 1, 10])):
-                simulation.take(rng.choice(greedy), budget.name)
+                simulation.take(rng.choice(acquiring), budget.name)
             if rng.random() < 0.3:
-                simulation.give_back(rng.choice(simulation.nodes), budget.name)
+                simulation.release(rng.choice(simulation.nodes), budget.name)
 
 
-def play_leadership_contests(simulation: FleetSimulation, rng: Random) -> None:
+def inject_leadership_faults(simulation: FleetSimulation, rng: Random) -> None:
     """What tempts two to lead at once, and a leader to lend again what is out, at times by chance."""
     for _ in range(6):
         simulation.links = LinkFaults()
@@ -328,7 +328,7 @@
             for budget in simulation.budgets:
                 for _ in range(budget.limit // 10):
                     simulation.take(holder, budget.name)
-        contest(simulation, leader, rival, holder, rng)
+        inject_leadership_fault(simulation, leader, rival, holder, rng)
         for _ in range(rng.randint(40, 160)):
             simulation.run(0.1)
             for budget in simulation.budgets:
@@ -336,7 +336,7 @@
                     simulation.take(rng.choice(simulation.nodes), budget.name)
 
 
-def contest(
+def inject_leadership_fault(
     simulation: FleetSimulation,
     leader: SimulatedMember,
     rival: SimulatedMember,
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -26,9 +26,9 @@
 
 SIZES = ((3, 32), (230, 400), (1024, 1024))  # processes, servers
 ROUNDS = 5
-PATIENCE = 30.0
-PORT = 7946
-TICKS = os.sysconf("SC_CLK_TCK")
+START_TIMEOUT = 30.0
+PEER_PORT = 7946
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 SETTINGS: dict[str, Any] = {
     "slot_no": 0,
     "tick_us": 5000,
@@ -56,20 +56,21 @@
 }
 
 
-def peer(number: int) -> str:
+def peer_host(number: int) -> str:
     return f"127.77.{number // 250}.{1 + number % 250}"
 
 
-def spare_port() -> int:
+def unused_port() -> int:
     with socket.create_server(("127.0.0.1", 0)) as spare:
         port: int = spare.getsockname()[1]
         return port
 
 
 def hosts(servers: int) -> list[dict[str, Any]]:
-    usual = {"site": "a", "block": 0, "health": "ready", "share": 1.0, "born_ms": 0}
+    common_fields = {"site": "a", "block": 0, "health": "ready", "share": 1.0, "born_ms": 0}
     return [
-        {"host": f"s-{n:04}", "dial": f"127.78.{n // 250}.{1 + n % 250}:9", **usual} for n in range(servers)
+        {"host": f"s-{n:04}", "dial": f"127.78.{n // 250}.{1 + n % 250}:9", **common_fields}
+        for n in range(servers)
     ]
 
 
@@ -77,91 +78,91 @@
     """The program under a configuration of so many processes and servers."""
 
     def __init__(self, folder: Path, processes: int, servers: int) -> None:
-        self.port = spare_port()
+        self.port = unused_port()
         path = folder / "config.json"
         config = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{spare_port()}",
+            "discovery": f"127.0.0.1:{unused_port()}",
             "seed": "1f",
             "limits": {"sockets": 1024},
             "known": {"seq": 1, "whole": True, "hosts": hosts(servers)},
-            "peer_listen": f"{peer(0)}:{PORT}",
-            "peers": [f"{peer(number)}:{PORT}" for number in range(processes)],
-            "peers_all": f"127.77.255.1:{PORT}",
+            "peer_listen": f"{peer_host(0)}:{PEER_PORT}",
+            "peers": [f"{peer_host(number)}:{PEER_PORT}" for number in range(processes)],
+            "peers_all": f"127.77.255.1:{PEER_PORT}",
             "settings": {**SETTINGS, "balancers": processes},
         }
         path.write_text(json.dumps(config))
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         self.process = subprocess.Popen(
             [sys.executable, "-m", "brambleplank"],
             env={**os.environ, "ROUTER_CONFIG": str(path)},
             stderr=subprocess.DEVNULL,
         )
         while not self.ping():
-            if self.process.poll() is not None or time.perf_counter() > began + PATIENCE:
+            if self.process.poll() is not None or time.perf_counter() > started_at + START_TIMEOUT:
                 raise RuntimeError("it does not start")
-        self.start = time.perf_counter() - began
+        self.start_time = time.perf_counter() - started_at
 
     def ping(self) -> bool:
         try:
-            with socket.create_connection(("127.0.0.1", self.port), PATIENCE) as caller:
-                caller.sendall(b"PING\r\n")
-                return caller.recv(16).startswith(b"PONG")
+            with socket.create_connection(("127.0.0.1", self.port), START_TIMEOUT) as client:
+                client.sendall(b"PING\r\n")
+                return client.recv(16).startswith(b"PONG")
         except ConnectionRefusedError:
             return False
 
-    def resident(self) -> float:
+    def resident_mib(self) -> float:
         """MiB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         line = next(line for line in status.splitlines() if line.startswith("VmRSS"))
         return int(line.split()[1]) / 1024
 
-    def processor(self) -> float:
+    def cpu_time(self) -> float:
         """Seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
-    def end(self) -> None:
+    def kill(self) -> None:
         self.process.kill()
         self.process.wait()
 
 
-def report_of_all(servers: int) -> list[bytes]:
+def load_report_datagrams(servers: int) -> list[bytes]:
     """The datagrams in which a process says that it holds one connection at each server."""
     tags = ServerTags(Server(host["host"], 0.0) for host in hosts(servers))
     sent: list[bytes] = []
-    nothing: Any = None
-    talk = PeerMessenger(
+    unused: Any = None
+    messenger = PeerMessenger(
         lambda data, to: sent.append(data),
         256,
         lambda call: None,
         lambda: tags,
-        nothing,
-        nothing,
-        nothing,
-        nothing,
+        unused,
+        unused,
+        unused,
+        unused,
     )
-    talk.send_load_report(dict.fromkeys(tags.by_id.values(), 1), True, None, False)
-    talk.send()
+    messenger.send_load_report(dict.fromkeys(tags.by_id.values(), 1), True, None, False)
+    messenger.send()
     return sent
 
 
-def report_everything(process: Process, processes: int, datagrams: list[bytes]) -> None:
+def send_reports(process: Process, processes: int, datagrams: list[bytes]) -> None:
     for number in range(1, processes):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
-            sender.bind((peer(number), PORT))
+            sender.bind((peer_host(number), PEER_PORT))
             for data in datagrams:
-                sender.sendto(data, (peer(0), PORT))
+                sender.sendto(data, (peer_host(0), PEER_PORT))
         process.ping()  # it has had a turn to read them: none is lost for want of room
 
 
-def ring_build(servers: int) -> float:
+def measure_ring_build(servers: int) -> float:
     """Seconds for the records of so many servers and their ring."""
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     listed = [Server(host["host"], 0.0) for host in hosts(servers)]
     HashRing().build(listed)
-    return time.perf_counter() - began
+    return time.perf_counter() - started_at
 
 
 def main() -> None:
@@ -169,25 +170,25 @@
         "processes servers | start s: median, most | resident MiB | ring s | told by all: datagrams, MiB, s"
     )
     for processes, servers in SIZES:
-        starts, resident = [], []
-        datagrams = report_of_all(servers)
+        start_times, resident_mib = [], []
+        datagrams = load_report_datagrams(servers)
         for last in (n == ROUNDS - 1 for n in range(ROUNDS)):
             with tempfile.TemporaryDirectory() as folder:
                 process = Process(Path(folder), processes, servers)
                 try:
-                    starts.append(process.start)
-                    resident.append(process.resident())
+                    start_times.append(process.start_time)
+                    resident_mib.append(process.resident_mib())
                     if last:
-                        before = process.processor()
-                        report_everything(process, processes, datagrams)
-                        after, told = process.processor(), process.resident()
+                        cpu_before = process.cpu_time()
+                        send_reports(process, processes, datagrams)
+                        cpu_after, resident_after_reports = process.cpu_time(), process.resident_mib()
                 finally:
-                    process.end()
-        ring = statistics.median(ring_build(servers) for _ in range(ROUNDS))
+                    process.kill()
+        ring = statistics.median(measure_ring_build(servers) for _ in range(ROUNDS))
         print(
-            f"{processes:9} {servers:7} | {statistics.median(starts):.2f} {max(starts):.2f} | "
-            f"{statistics.median(resident):.1f} | {ring:.3f} | "
-            f"{len(datagrams) * (processes - 1)} {told:.1f} {after - before:.2f}",
+            f"{processes:9} {servers:7} | {statistics.median(start_times):.2f} {max(start_times):.2f} | "
+            f"{statistics.median(resident_mib):.1f} | {ring:.3f} | "
+            f"{len(datagrams) * (processes - 1)} {resident_after_reports:.1f} {cpu_after - cpu_before:.2f}",
             flush=True,
         )
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -8,37 +8,37 @@
 from twisted.internet import protocol, reactor
 
 
-class Side(protocol.Protocol):
+class RelaySide(protocol.Protocol):
     """One side of a pair; it writes what it receives to the other."""
 
     transport: Any
-    other: Any = None
+    peer: Any = None
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Passes bytes on."""
-        self.other.transport.write(data)
+        self.peer.transport.write(data)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002, N802  the base class's argument
         """Closes the other side."""
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.loseConnection()
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.loseConnection()
 
 
-class ClientSide(Side):
+class ClientSide(RelaySide):
     """The side of a client, which connects to the server before it reads."""
 
     def connectionMade(self) -> None:  # noqa: N802
         """Connects to the server."""
         self.transport.setTcpNoDelay(True)
         self.transport.pauseProducing()
-        creator = protocol.ClientCreator(reactor, Side)
-        creator.connectTCP("127.0.0.1", SERVER_PORT).addCallback(self.joined)
+        creator = protocol.ClientCreator(reactor, RelaySide)
+        creator.connectTCP("127.0.0.1", SERVER_PORT).addCallback(self.server_connected)
 
-    def joined(self, server_side: Any) -> None:
+    def server_connected(self, server_side: Any) -> None:
         """Joins both sides and reads from now on."""
         server_side.transport.setTcpNoDelay(True)
-        self.other = server_side
-        server_side.other = self
+        self.peer = server_side
+        server_side.peer = self
         self.transport.registerProducer(server_side.transport, True)
         server_side.transport.registerProducer(self.transport, True)
         self.transport.resumeProducing()
@@ -48,7 +48,7 @@
     SERVER_PORT = int(sys.argv[1])
     factory = protocol.Factory.forProtocol(ClientSide)
     factory.noisy = False
-    loop: Any = reactor
-    port = loop.listenTCP(0, factory, backlog=1024, interface="127.0.0.1")
+    typed_reactor: Any = reactor
+    port = typed_reactor.listenTCP(0, factory, backlog=1024, interface="127.0.0.1")
     print(port.getHost().port, flush=True)
-    loop.run()
+    typed_reactor.run()
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -13,10 +13,10 @@
 from brambleplank.fleet.routing import route_table
 from brambleplank.fleet.routing.lint import LintContext, lint
 
-LOOK_UPS = 50_000
+LOOKUPS = 50_000
 
 
-def text_of(shape: str, rules: int) -> str:
+def table_text(shape: str, rules: int) -> str:
     """A table of customers, of disjoint keys, of all mixed, or of keys that overlap at random."""
     rng = Random(1)
     lines = ['versions = ["v1", "v2", "v3"]']
@@ -41,18 +41,20 @@
     """Prints a line for each shape of table."""
     print("| rules | shape | read s | lint s | look-up us | findings |\n|" + " --- |" * 6)
     for shape in ("customers", "keys", "mixed", "overlapping"):
-        text = text_of(shape, rules)
-        began = time.perf_counter()
+        text = table_text(shape, rules)
+        started_at = time.perf_counter()
         table, faults = route_table.read(text)
         assert table is not None, faults
-        read = time.perf_counter()
+        read_at = time.perf_counter()
         found = Counter(finding.kind for finding in lint(table, LintContext(["a", "b", "c"])))
-        linted = time.perf_counter()
-        for n in range(LOOK_UPS):
+        linted_at = time.perf_counter()
+        for n in range(LOOKUPS):
             table.find("a", f"c{n % 3000}", "v1", n * 7919**5 % 2**60)
-        looked = (time.perf_counter() - linted) / LOOK_UPS * 1e6
+        lookup_time = (time.perf_counter() - linted_at) / LOOKUPS * 1e6
         kinds = ", ".join(f"{kind} {count}" for kind, count in found.items()) or "none"
-        print(f"| {rules} | {shape} | {read - began:.2f} | {linted - read:.2f} | {looked:.1f} | {kinds} |")
+        print(
+            f"| {rules} | {shape} | {read_at - started_at:.2f} | {linted_at - read_at:.2f} | {lookup_time:.1f} | {kinds} |"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -20,7 +20,7 @@
 STEP = 0.02  # seconds between two bursts of demand
 BURST = 4  # units wanted in each
 SETTLING_TIME = 25.0  # seconds until a simulated fleet lends
-MEASURED = 20.0  # seconds at the end of each part
+MEASURED_TIME = 20.0  # seconds at the end of each part
 
 
 class StaticShares:
@@ -83,36 +83,36 @@
                     self.reports[receiver][sender] = report
 
 
-def most_in_a_window(times: list[float]) -> int:
+def peak_window_use(times: list[float]) -> int:
     """Returns the most units that any window holds."""
     ordered = sorted(times)
     first = 0
-    most = 0
+    peak = 0
     for n, last in enumerate(ordered):
         while ordered[first] <= last - WINDOW:
             first += 1
-        most = max(most, n - first + 1)
-    return most
+        peak = max(peak, n - first + 1)
+    return peak
 
 
-def baseline(members: int, kind: Callable[[int], StaticShares]) -> list[str]:
+def baseline_row(members: int, sharing: Callable[[int], StaticShares]) -> list[str]:
     """The same demand: at one, then at one on either side of a cut."""
-    budget = kind(members)
+    budget = sharing(members)
     spent_at: list[float] = []
     used: list[float] = []
     now = 0.0
-    for seconds, cut, takers in ((40.0, False, [1]), (40.0, True, [0, members - 1])):
-        counts = dict.fromkeys(takers, 0)
+    for seconds, cut, active_members in ((40.0, False, [1]), (40.0, True, [0, members - 1])):
+        counts = dict.fromkeys(active_members, 0)
         for step in range(int(seconds / STEP)):
             now += STEP
-            for number in takers:
+            for number in active_members:
                 for _ in range(BURST):
                     if budget.take(now, number, cut):
                         spent_at.append(now)
-                        counts[number] += step * STEP >= seconds - MEASURED
-        used += [count / (LIMIT * MEASURED / WINDOW) for count in counts.values()]
+                        counts[number] += step * STEP >= seconds - MEASURED_TIME
+        used += [count / (LIMIT * MEASURED_TIME / WINDOW) for count in counts.values()]
     at_one, in_minority, in_majority = used
-    peak = most_in_a_window(spent_at) / LIMIT
+    peak = peak_window_use(spent_at) / LIMIT
     return [f"{at_one:.3f}", f"{in_majority:.3f}", f"{in_minority:.4f}", f"{peak:.2f}", "-", "-", "-"]
 
 
@@ -126,7 +126,7 @@
     return [count / (LIMIT * seconds / WINDOW) for count in counts]
 
 
-def leased(members: int) -> list[str]:
+def lease_row(members: int) -> list[str]:
     """The same demand on a simulated fleet that leases."""
     simulation = FleetSimulation(members, [Budget("rate", LIMIT, WINDOW, members)], 1, check=False)
     simulation.run(SETTLING_TIME)
@@ -136,14 +136,14 @@
     use(simulation, [one], 2 * WINDOW)
     bytes_before = simulation.sent_bytes.copy()
     began = simulation.now
-    (at_one,) = use(simulation, [one], MEASURED)
+    (at_one,) = use(simulation, [one], MEASURED_TIME)
     seconds = simulation.now - began
     rates = sorted((simulation.sent_bytes[n] - bytes_before[n]) / seconds for n in range(members))
     minority = {(leader.number + n) % members for n in range((members - 1) // 2 or 1)}
     simulation.cut(minority, set(range(members)) - minority)
     other = simulation.nodes[(leader.number + len(minority)) % members]
     use(simulation, [leader, other], 3 * WINDOW)
-    in_minority, in_majority = use(simulation, [leader, other], MEASURED)
+    in_minority, in_majority = use(simulation, [leader, other], MEASURED_TIME)
     recovery = recovery_time(simulation, leader)
     return [
         f"{at_one:.3f}",
@@ -167,7 +167,7 @@
 
 def main(members: list[int]) -> None:
     """Prints a line for each number of members and each way."""
-    heads = (
+    columns = (
         "members",
         "way",
         "use at one",
@@ -178,14 +178,14 @@
         "bytes/s, in office",
         "s from heal to half of it",
     )
-    print("| " + " | ".join(heads) + " |\n|" + " --- |" * len(heads))
+    print("| " + " | ".join(columns) + " |\n|" + " --- |" * len(columns))
     for n in members:
-        for way, row in (
-            ("leases", leased(n)),
-            ("static shares", baseline(n, StaticShares)),
-            ("optimistic counting", baseline(n, OptimisticCounting)),
+        for method, row in (
+            ("leases", lease_row(n)),
+            ("static shares", baseline_row(n, StaticShares)),
+            ("optimistic counting", baseline_row(n, OptimisticCounting)),
         ):
-            print("| " + " | ".join([str(n), way, *row]) + " |", flush=True)
+            print("| " + " | ".join([str(n), method, *row]) + " |", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -27,13 +27,13 @@
 from brambleplank.sidecar.shapes import File, Limits, Listen, Servers, ServiceType
 from brambleplank.tables import Seconds, Size
 
-FLOWS, AT_ONCE = 3000, 10
-STANDING, LINES = 50, 200
-HELD = 1000
+FLOWS, CONCURRENCY = 3000, 10
+SESSIONS, LINES_PER_SESSION = 50, 200
+IDLE_CONNECTIONS = 1000
 ROUNDS = 3
-VIEWS = ServiceType("views", "repeatable", Seconds(0.3), Seconds(1.8))
-NUMBERS = count(1)  # an id is used once
-TICKS = os.sysconf("SC_CLK_TCK")
+SERVICE_TYPE = ServiceType("views", "repeatable", Seconds(0.3), Seconds(1.8))
+FLOW_IDS = count(1)  # an id is used once
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 class Client(asyncio.Protocol):
@@ -41,11 +41,11 @@
 
     transport: Any
 
-    def __init__(self, flow: int, lines: int, times: tuple[HdrHistogram, HdrHistogram]) -> None:
-        self.flow, self.lines, self.times = flow, lines, times
-        self.up: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.over: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.began = time.perf_counter()
+    def __init__(self, flow: int, lines: int, latencies: tuple[HdrHistogram, HdrHistogram]) -> None:
+        self.flow, self.lines, self.latencies = flow, lines, latencies
+        self.established: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.finished: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.started_at = time.perf_counter()
         self.sent = 0.0
 
     def connection_made(self, transport: Any) -> None:
@@ -54,28 +54,28 @@
 
     def data_received(self, data: bytes) -> None:
         now = time.perf_counter()
-        if not self.up.done():
+        if not self.established.done():
             if not data.startswith(b"UP"):
-                self.up.set_exception(RuntimeError(data.decode()))
+                self.established.set_exception(RuntimeError(data.decode()))
                 return
-            self.times[0].record_value(round((now - self.began) * 1e6))
-            self.up.set_result(None)
+            self.latencies[0].record_value(round((now - self.started_at) * 1e6))
+            self.established.set_result(None)
         else:
-            self.times[1].record_value(round((now - self.sent) * 1e6))
+            self.latencies[1].record_value(round((now - self.sent) * 1e6))
         if self.lines:
             self.lines -= 1
             self.sent = time.perf_counter()
             self.transport.write(b"M 1 0123456789abcdef0123456789abcdef\r\n")
-        elif not self.over.done():
-            self.over.set_result(None)
+        elif not self.finished.done():
+            self.finished.set_result(None)
 
 
-class Way:
+class Target:
     """One way to the server: its port, and the process in the middle, if there is one."""
 
     def __init__(self, name: str, port: int, pid: int = 0) -> None:
         self.name, self.port, self.pid = name, port, pid
-        self.times = HdrHistogram(1, 10_000_000, 3), HdrHistogram(1, 10_000_000, 3)
+        self.latencies = HdrHistogram(1, 10_000_000, 3), HdrHistogram(1, 10_000_000, 3)
         self.per_flow: list[float] = []
         self.per_line: list[float] = []
         self.per_connection = 0.0
@@ -84,7 +84,7 @@
         if not self.pid:
             return 0.0
         fields = Path(f"/proc/{self.pid}/stat").read_text().rsplit(")", 1)[1].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
     def memory(self) -> int:
         if not self.pid:
@@ -92,49 +92,49 @@
         return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * resource.getpagesize()
 
     async def client(self, lines: int = 0) -> Client:
-        loop, number = asyncio.get_running_loop(), next(NUMBERS)
+        loop, number = asyncio.get_running_loop(), next(FLOW_IDS)
         _, client = await loop.create_connection(
-            lambda: Client(number, lines, self.times), "127.0.0.1", self.port
+            lambda: Client(number, lines, self.latencies), "127.0.0.1", self.port
         )
-        await asyncio.wait_for(client.up, 5)
+        await asyncio.wait_for(client.established, 5)
         return client
 
-    async def some_flows(self, several: int) -> None:
-        for _ in range(several):
+    async def open_flows(self, total: int) -> None:
+        for _ in range(total):
             (await self.client()).transport.close()
 
-    async def flow_round(self) -> None:
+    async def measure_flows(self) -> None:
         before = self.cpu()
-        await asyncio.gather(*(self.some_flows(FLOWS // AT_ONCE) for _ in range(AT_ONCE)))
+        await asyncio.gather(*(self.open_flows(FLOWS // CONCURRENCY) for _ in range(CONCURRENCY)))
         await asyncio.sleep(0.2)
         self.per_flow.append((self.cpu() - before) / FLOWS)
 
-    async def line_round(self) -> None:
-        clients = [await self.client() for _ in range(STANDING)]
+    async def measure_lines(self) -> None:
+        clients = [await self.client() for _ in range(SESSIONS)]
         before = self.cpu()
         for client in clients:
-            client.over = asyncio.get_running_loop().create_future()
-            client.lines = LINES - 1
+            client.finished = asyncio.get_running_loop().create_future()
+            client.lines = LINES_PER_SESSION - 1
             client.sent = time.perf_counter()
             client.transport.write(b"M 1 0123456789abcdef0123456789abcdef\r\n")
-        await asyncio.wait_for(asyncio.gather(*(client.over for client in clients)), 60)
-        self.per_line.append((self.cpu() - before) / (STANDING * LINES))
+        await asyncio.wait_for(asyncio.gather(*(client.finished for client in clients)), 60)
+        self.per_line.append((self.cpu() - before) / (SESSIONS * LINES_PER_SESSION))
         for client in clients:
             client.transport.close()
 
-    async def hold(self) -> None:
+    async def measure_connection_memory(self) -> None:
         before = self.memory()
         clients = []
-        for _ in range(HELD):
+        for _ in range(IDLE_CONNECTIONS):
             clients.append(await self.client())
         await asyncio.sleep(0.5)
-        self.per_connection = (self.memory() - before) / HELD
+        self.per_connection = (self.memory() - before) / IDLE_CONNECTIONS
         for client in clients:
             client.transport.close()
         await asyncio.sleep(0.5)
 
 
-def told_port(process: subprocess.Popen[str]) -> int:
+def read_port(process: subprocess.Popen[str]) -> int:
     assert process.stdout
     return int(process.stdout.readline())
 
@@ -145,66 +145,67 @@
     file = File(
         "bench",
         Listen(f"127.0.0.1:{port}"),
-        [VIEWS],
-        limits=Limits(HELD, descriptors_for(HELD, 0), Size(512 * 1024**2)),
+        [SERVICE_TYPE],
+        limits=Limits(IDLE_CONNECTIONS, descriptors_for(IDLE_CONNECTIONS, 0), Size(512 * 1024**2)),
         servers=Servers("b.servers.toml"),
     )
     (folder / "b.toml").write_text(writer.text(file))
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     process = subprocess.Popen(
         [sys.executable, "-m", "brambleplank.cli", "run", str(folder / "b.toml")],
         stderr=subprocess.DEVNULL,
         text=True,
     )
-    return process, asyncio.run(first_up(port, began))
+    return process, asyncio.run(time_to_first_answer(port, started_at))
 
 
-async def first_up(port: int, began: float) -> float:
-    way = Way("", port)
-    while time.perf_counter() < began + 20:
+async def time_to_first_answer(port: int, started_at: float) -> float:
+    target = Target("", port)
+    while time.perf_counter() < started_at + 20:
         try:
-            (await way.client()).transport.close()
-            return time.perf_counter() - began
+            (await target.client()).transport.close()
+            return time.perf_counter() - started_at
         except (OSError, RuntimeError):
             await asyncio.sleep(0.002)
     raise RuntimeError("the sidecar did not start")
 
 
-def check_seconds(folder: Path) -> list[float]:
+def check_times(folder: Path) -> list[float]:
     """Whole-process times of `check` on 2,000 servers."""
     servers = [Server(f"feed{n}", f"127.0.{n // 250}.{n % 250 + 1}:7501") for n in range(2000)]
     (folder / "many.servers.toml").write_text(writer.servers_text(servers))
     file = File(
         "many",
         Listen("127.0.0.1:7400"),
-        [VIEWS],
+        [SERVICE_TYPE],
         limits=Limits(memory=Size(256 * 1024**2)),
         servers=Servers("many.servers.toml"),
     )
     (folder / "many.toml").write_text(writer.text(file))
-    times = []
+    durations = []
     for _ in range(7):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         subprocess.run(
             [sys.executable, "-m", "brambleplank.cli", "check", str(folder / "many.toml")],
             check=True,
             stdout=subprocess.DEVNULL,
         )
-        times.append(time.perf_counter() - began)
-    return times
+        durations.append(time.perf_counter() - started_at)
+    return durations
 
 
-async def measure(ways: list[Way]) -> None:
-    for way in ways:
-        await way.hold()  # first: later on, memory that was given back would be taken up again
+async def measure(targets: list[Target]) -> None:
+    for target in targets:
+        # Measured first: connections opened later would reuse memory that earlier ones have freed.
+        await target.measure_connection_memory()
     for _ in range(ROUNDS):  # in turn, so that a drift of the machine meets all of them
-        for way in ways:
-            await way.flow_round()
-            await way.line_round()
+        for target in targets:
+            await target.measure_flows()
+            await target.measure_lines()
 
 
-def table(ways: list[Way], starts: list[float], checks: list[float]) -> str:
-    def times(histogram: HdrHistogram) -> str:
+def table(targets: list[Target], start_times: list[float], checks: list[float]) -> str:
+    def percentiles(histogram: HdrHistogram) -> str:
         return " / ".join(f"{histogram.get_value_at_percentile(p) / 1000:.2f}" for p in (50, 99, 99.9))
 
     lines = [
@@ -212,30 +213,32 @@
         "| memory a connection, KiB |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for way in ways:
+    for target in targets:
         cpu = [
-            statistics.median(way.per_flow) * 1e6,
-            statistics.median(way.per_line) * 1e6,
-            way.per_connection / 1024,
+            statistics.median(target.per_flow) * 1e6,
+            statistics.median(target.per_line) * 1e6,
+            target.per_connection / 1024,
         ]
-        said = [f"{value:.1f}" if way.pid else "-" for value in cpu]
-        lines.append(f"| {way.name} | {times(way.times[0])} | {times(way.times[1])} | {' | '.join(said)} |")
-    beside, bare = ways[1], ways[2]
+        cells = [f"{value:.1f}" if target.pid else "-" for value in cpu]
+        lines.append(
+            f"| {target.name} | {percentiles(target.latencies[0])} | {percentiles(target.latencies[1])} | {' | '.join(cells)} |"
+        )
+    sidecar, relay = targets[1], targets[2]
     lines += [
         "",
         f"Times the bare relay: CPU a flow "
-        f"{statistics.median(beside.per_flow) / statistics.median(bare.per_flow):.2f}, a line "
-        f"{statistics.median(beside.per_line) / statistics.median(bare.per_line):.2f}, memory a connection "
-        f"{beside.per_connection / bare.per_connection:.2f}.",
-        f"Start to first UP: median {statistics.median(starts):.2f} s of {len(starts)}; check of 2,000 "
-        f"servers: median {statistics.median(checks):.2f} s of {len(checks)}, whole process.",
+        f"{statistics.median(sidecar.per_flow) / statistics.median(relay.per_flow):.2f}, a line "
+        f"{statistics.median(sidecar.per_line) / statistics.median(relay.per_line):.2f}, memory a connection "
+        f"{sidecar.per_connection / relay.per_connection:.2f}.",
+        f"Start to first UP: median {statistics.median(start_times):.2f} s of {len(start_times)}; "
+        f"check of 2,000 servers: median {statistics.median(checks):.2f} s of {len(checks)}, whole process.",
     ]
     return "\n".join(lines)
 
 
 def main() -> None:
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
-    here = Path(__file__).parent
+    folder = Path(__file__).parent
     started: list[subprocess.Popen[str]] = []
     with tempfile.TemporaryDirectory() as name:
         try:
@@ -246,26 +249,26 @@
                 text=True,
             )
             started.append(server)
-            port = told_port(server)
+            port = read_port(server)
             relay = subprocess.Popen(
-                [sys.executable, str(here / "relay.py"), str(port)], stdout=subprocess.PIPE, text=True
+                [sys.executable, str(folder / "relay.py"), str(port)], stdout=subprocess.PIPE, text=True
             )
             started.append(relay)
-            starts = []
+            start_times = []
             for n in range(5):
-                sidecar, took = start_sidecar(Path(name), port, 27400 + n)
-                starts.append(took)
+                sidecar, start_time = start_sidecar(Path(name), port, 27400 + n)
+                start_times.append(start_time)
                 started.append(sidecar)
                 if n < 4:
                     sidecar.terminate()
                     sidecar.wait(10)
-            ways = [
-                Way("direct", port),
-                Way("sidecar", 27404, sidecar.pid),
-                Way("bare relay", told_port(relay), relay.pid),
+            targets = [
+                Target("direct", port),
+                Target("sidecar", 27404, sidecar.pid),
+                Target("bare relay", read_port(relay), relay.pid),
             ]
-            asyncio.run(measure(ways))
-            print(table(ways, starts, check_seconds(Path(name))))
+            asyncio.run(measure(targets))
+            print(table(targets, start_times, check_times(Path(name))))
         finally:
             for process in started:
                 if process.poll() is None:
--- a/benchmarks/upgrade_between_versions.py
+++ b/benchmarks/upgrade_between_versions.py
@@ -36,13 +36,13 @@
 NEW_SESSIONS = 24  # opened after the upgrade, each with another key
 SLOW_START_AGE = 2.0  # seconds since the start of the server in slow start, of a ramp of 20
 SERVERS = ("s0", "s1", "s2")
-OUT_OF_ROTATION = "s1"
-IN_SLOW_START = "s2"
+DISABLED_SERVER = "s1"
+SLOW_START_SERVER = "s2"
 LIST_VERSION = 41
-HANDED_OFF = ("went along", "handed off")  # how log lines of 0b808a3 put it, and those of later releases
+HANDOFF_PHRASES = ("went along", "handed off")  # how log lines of 0b808a3 put it, and those of later releases
 
 
-class LostError(Exception):
+class UpgradeError(Exception):
     """Something did not outlive the upgrade."""
 
 
@@ -74,7 +74,7 @@
             check=True,
         ).stdout.strip()
         if not Path(found).is_relative_to(self.path):
-            raise LostError(f"{self.python} imports {found}, not the tree {self.path}")
+            raise UpgradeError(f"{self.python} imports {found}, not the tree {self.path}")
 
 
 class VersionedProgram(Program):
@@ -96,16 +96,16 @@
             text=True,
         )
 
-    def call(self, path: str, method: str) -> int:
+    def send_command(self, path: str, method: str) -> int:
         """The status that an operator's call is answered with."""
         host, port = self.config["mgmt"].rsplit(":", 1)
-        until = time.monotonic() + TEST_TIMEOUT
+        give_up_at = time.monotonic() + TEST_TIMEOUT
         while True:
             try:
                 line = LineConnection(socket.create_connection((host, int(port))))
                 break
             except ConnectionRefusedError:
-                if time.monotonic() > until:
+                if time.monotonic() > give_up_at:
                     raise
                 time.sleep(0.01)
         line.send_line(f"{method} {path} HTTP/1.1\r\nHost: here\r\n")
@@ -113,9 +113,9 @@
 
     def wait_until_ready(self) -> None:
         """Returns once this process says that it is ready."""
-        until = time.monotonic() + TEST_TIMEOUT
-        while self.call("/-/ready", "GET") != 200:
-            require(time.monotonic() < until, "a process did not become ready")
+        give_up_at = time.monotonic() + TEST_TIMEOUT
+        while self.send_command("/-/ready", "GET") != 200:
+            require(time.monotonic() < give_up_at, "a process did not become ready")
 
     def stored_state(self, folder: Path) -> dict[str, Any]:
         """What this process would hand to a next one: asked over its Unix socket, without taking over.
@@ -133,17 +133,17 @@
         return state
 
 
-def require(holds: bool, otherwise: str) -> None:
+def require(condition: bool, message: str) -> None:
     """Raises LostError if it does not hold."""
-    if not holds:
-        raise LostError(otherwise)
+    if not condition:
+        raise UpgradeError(message)
 
 
-def listed(servers: dict[str, StandInServer]) -> dict[str, Any]:
+def server_list(servers: dict[str, StandInServer]) -> dict[str, Any]:
     """The list of servers, of which one has started a moment ago."""
     found = endpoint_list(LIST_VERSION, True, **{name: server.address for name, server in servers.items()})
     for host in found["hosts"]:
-        if host["host"] == IN_SLOW_START:
+        if host["host"] == SLOW_START_SERVER:
             host["born_ms"] = (time.time() - SLOW_START_AGE) * 1000
     return found
 
@@ -161,15 +161,15 @@
 
 
 @contextmanager
-def serving(trees: list[Tree], folder: Path, known: dict[str, Any]) -> Iterator[VersionedProgram]:
+def running_proxy(trees: list[Tree], folder: Path, known: dict[str, Any]) -> Iterator[VersionedProgram]:
     """A proxy whose first process is up; all its processes are ended afterwards."""
     mgmt = ":".join(map(str, unused_address()))
     # However busy the machine is, no answer is late and no server looks overloaded for it.
-    patient = [
+    service_types = [
         {**PLATFORM_SETTINGS["service_types"][0], "setup_target_us": 10_000_000, "deadline_us": 30_000_000}
     ]
     program = VersionedProgram(
-        trees, folder, known, mgmt=mgmt, settings={**PLATFORM_SETTINGS, "service_types": patient}
+        trees, folder, known, mgmt=mgmt, settings={**PLATFORM_SETTINGS, "service_types": service_types}
     )
     threading.Thread(target=answer_watches, args=[program.discovery, known], daemon=True).start()
     try:
@@ -195,16 +195,16 @@
             require(received == line, f"{line!r} on an established session arrived as {received!r}")
 
 
-def opened(program: VersionedProgram, servers: dict[str, StandInServer]) -> list[Session]:
+def open_sessions(program: VersionedProgram, servers: dict[str, StandInServer]) -> list[Session]:
     """Sessions with the servers that are in rotation, each with a key of its own."""
     clients = {f"{key:x}": program.open_request(f"{key:x}", deadline_ms=30_000) for key in range(SESSIONS)}
     for client in clients.values():
         answer = client.read_line()
         require(answer.startswith("UP "), f"a session began with {answer!r}")
     ends: dict[str, LineConnection] = {}
-    until = time.monotonic() + TEST_TIMEOUT
+    give_up_at = time.monotonic() + TEST_TIMEOUT
     while len(ends) < SESSIONS:  # a server records a connection after its answer
-        require(time.monotonic() < until, f"servers saw {len(ends)} of {SESSIONS} sessions")
+        require(time.monotonic() < give_up_at, f"servers saw {len(ends)} of {SESSIONS} sessions")
         for server in servers.values():
             while not server.openings.empty():
                 first, line = server.next_opening()
@@ -216,12 +216,14 @@
 def upgrade(trees: list[Tree]) -> str:
     """Upgrades from the first tree to the second; what was kept, in a line. Raises LostError."""
     servers = {name: StandInServer(f"UP {name}") for name in SERVERS}
-    known = listed(servers)
-    with tempfile.TemporaryDirectory() as name, serving(trees, Path(name), known) as old:
+    known = server_list(servers)
+    with tempfile.TemporaryDirectory() as name, running_proxy(trees, Path(name), known) as old:
         folder = Path(name)
         old.wait_until_ready()
-        require(old.call(f"/-/servers/{OUT_OF_ROTATION}/disable", "PUT") == 200, "the call was refused")
-        sessions = opened(old, servers)
+        require(
+            old.send_command(f"/-/servers/{DISABLED_SERVER}/disable", "PUT") == 200, "the call was refused"
+        )
+        sessions = open_sessions(old, servers)
         for session in sessions:
             session.check()
         before = old.stored_state(folder)
@@ -230,7 +232,7 @@
         old.process.send_signal(signal.SIGTERM)
         log = old.remaining_log()
         require(old.process.returncode == 0, f"the first process ended with {old.process.returncode}: {log}")
-        handed_off = any(f"{SESSIONS} connections {words}" in log for words in HANDED_OFF)
+        handed_off = any(f"{SESSIONS} connections {words}" in log for words in HANDOFF_PHRASES)
         require(handed_off, f"not every session was handed off: {log}")
         for session in sessions:
             session.check()
@@ -242,29 +244,31 @@
         log = new.stop()
         require("upgrade: taken over\n" in log, f"the state was not taken over: {log}")
         require("fault" not in log and "Traceback" not in log, f"a fault: {log}")
-    kept = f"{OUT_OF_ROTATION} stayed out of rotation, {IN_SLOW_START} kept its start"
+    kept = f"{DISABLED_SERVER} stayed out of rotation, {SLOW_START_SERVER} kept its start"
     return f"{SESSIONS} sessions kept, {kept}"
 
 
 def check_state(before: dict[str, Any], after: dict[str, Any]) -> None:
     """Raises LostError unless the second process has the rotation and the start that the first had."""
-    require(list(before["out"]) == [OUT_OF_ROTATION], f"out of rotation at the first: {before['out']}")
+    require(list(before["out"]) == [DISABLED_SERVER], f"out of rotation at the first: {before['out']}")
     for key in ("clock", "out", "starts", "started", "list"):
         require(before[key] == after[key], f"{key}: {before[key]} became {after[key]}")
-    start = before["servers"][IN_SLOW_START]["started"]
-    require(start == before["starts"][IN_SLOW_START][1] > 0, f"no slow start at the first process: {start}")
-    kept = after["servers"][IN_SLOW_START]["started"]
-    require(start == kept, f"{IN_SLOW_START}: its start {start} became {kept}")
+    start = before["servers"][SLOW_START_SERVER]["started"]
+    require(
+        start == before["starts"][SLOW_START_SERVER][1] > 0, f"no slow start at the first process: {start}"
+    )
+    kept = after["servers"][SLOW_START_SERVER]["started"]
+    require(start == kept, f"{SLOW_START_SERVER}: its start {start} became {kept}")
 
 
 def check_rotation(program: VersionedProgram, servers: dict[str, StandInServer]) -> None:
     """Raises LostError if a new session comes to the server that is out of rotation, or none is possible."""
-    before = servers[OUT_OF_ROTATION].opening_count
+    before = servers[DISABLED_SERVER].opening_count
     for key in range(NEW_SESSIONS):
         answer = program.open_request(f"{key:x}", deadline_ms=30_000).read_line()
         require(answer.startswith("UP "), f"a new session began with {answer!r}")
-        require(answer != f"UP {OUT_OF_ROTATION}", f"{OUT_OF_ROTATION} got a new session")
-    require(servers[OUT_OF_ROTATION].opening_count == before, f"{OUT_OF_ROTATION} got a new attempt")
+        require(answer != f"UP {DISABLED_SERVER}", f"{DISABLED_SERVER} got a new session")
+    require(servers[DISABLED_SERVER].opening_count == before, f"{DISABLED_SERVER} got a new attempt")
 
 
 def main() -> int:
@@ -273,18 +277,18 @@
     parser.add_argument("checkout", type=Path, help="a checkout of the other version")
     parser.add_argument("--python", default=sys.executable, help="the interpreter for the other version")
     arguments = parser.parse_args()
-    here = Tree(Path(__file__).resolve().parent.parent, sys.executable)
+    this_tree = Tree(Path(__file__).resolve().parent.parent, sys.executable)
     other = Tree(arguments.checkout.resolve(), arguments.python)
-    lost = False
-    for name, trees in (("other to this", [other, here]), ("this to other", [here, other])):
+    failed = False
+    for name, trees in (("other to this", [other, this_tree]), ("this to other", [this_tree, other])):
         try:
             for tree in trees:
                 tree.require()
             print(f"{name}: {upgrade(trees)}")
-        except (LostError, AssertionError, OSError) as error:
-            lost = True
+        except (UpgradeError, AssertionError, OSError) as error:
+            failed = True
             print(f"{name}: LOST: {type(error).__name__}: {error}")
-    return int(lost)
+    return int(failed)
 
 
 if __name__ == "__main__":
--- a/deploy/sites/lay_out.py
+++ b/deploy/sites/lay_out.py
@@ -15,14 +15,14 @@
 
 import tomlkit
 
-BESIDE = ("real.json", "wire.json", "unlock.txt")  # what the program looks for beside a site
-TABLES_WITH_LISTS = ("fam",)  # tables whose lists are changed one by one, not the table as a whole
+COMPANION_FILES = ("real.json", "wire.json", "unlock.txt")  # what the program looks for beside a site
+MERGED_TABLES = ("fam",)  # tables whose lists are changed one by one, not the table as a whole
 
 
-def change(site: Any, key: str, value: Any) -> None:
+def set_value(site: Any, key: str, value: Any) -> None:
     """Set the value at a path with dots."""
-    *way, last = key.split(".")
-    for part in way:
+    *parents, last = key.split(".")
+    for part in parents:
         site = site[int(part) if part.isdigit() else part]
     site[last] = value
 
@@ -31,35 +31,35 @@
     """Path and new value of each change of a variant."""
     found: dict[str, Any] = {}
     for key, value in variant["changes"].unwrap().items():
-        if key in TABLES_WITH_LISTS:
+        if key in MERGED_TABLES:
             found.update({f"{key}.{inner}": new for inner, new in value.items()})
         else:
             found[key] = value
     return found
 
 
-def lay_out(variant: Any, name: str, kit: Path, laid: Path) -> Path:
+def lay_out(variant: Any, name: str, kit: Path, output: Path) -> Path:
     """Write the site of a variant, with the files that the bench wants beside it, and return its path."""
-    base = kit / str(variant["from"])
-    site = tomlkit.parse(base.read_text())
+    base_path = kit / str(variant["from"])
+    site = tomlkit.parse(base_path.read_text())
     for key, value in changes(variant).items():
-        change(site, key, value)
-    folder = laid / name
+        set_value(site, key, value)
+    folder = output / name
     folder.mkdir(parents=True, exist_ok=True)
-    for beside in BESIDE:
-        shutil.copyfile(base.parent / beside, folder / beside)
-    written = folder / f"{name}.toml"
-    written.write_text(tomlkit.dumps(site))
-    return written
+    for companion in COMPANION_FILES:
+        shutil.copyfile(base_path.parent / companion, folder / companion)
+    site_path = folder / f"{name}.toml"
+    site_path.write_text(tomlkit.dumps(site))
+    return site_path
 
 
 def main(kit: Path) -> None:
     """Lay out each variant beside this file and print its site with the bench's arguments."""
-    here = Path(__file__).parent
-    for path in sorted(here.glob("*.toml")):
+    folder = Path(__file__).parent
+    for path in sorted(folder.glob("*.toml")):
         variant = tomlkit.parse(path.read_text())
-        written = lay_out(variant, path.stem, kit, here / "laid")
-        print(written, *variant.get("arguments", []))
+        site_path = lay_out(variant, path.stem, kit, folder / "laid")
+        print(site_path, *variant.get("arguments", []))
 
 
 if __name__ == "__main__":
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benchmarks.elections import FAULTS, LOSSES, Links, Play, play
+from benchmarks.elections import FAULTS, LOSSES, FaultResult, Links, simulate_fault
 from brambleplank.fleet.leases.leader_election import DueHeartbeat, LeaderElection
 from brambleplank.fleet.leases.timing import GRANTER_CLOCK_FACTOR, LEASE_DURATION
 from brambleplank.fleet.messages import Heartbeat
@@ -26,17 +26,20 @@
 @pytest.mark.parametrize("loss", LOSSES)
 @pytest.mark.parametrize("fault", FAULTS)
 def test_time_without_a_leader_is_bounded(fault: str, loss: float) -> None:
-    results: dict[int, Play] = {seed: play(seed, fault, Links(loss)) for seed in SEEDS}
-    late = {seed: result for seed, result in results.items() if result.longest > MAX_LEADERLESS_TIME}
-    assert not late and mean([result.longest for result in results.values()]) <= MAX_MEAN_LEADERLESS_TIME
+    results: dict[int, FaultResult] = {seed: simulate_fault(seed, fault, Links(loss)) for seed in SEEDS}
+    late = {seed: result for seed, result in results.items() if result.longest_gap > MAX_LEADERLESS_TIME}
+    assert not late and mean([result.longest_gap for result in results.values()]) <= MAX_MEAN_LEADERLESS_TIME
     if fault in LEADER_FAULTS:
-        late = {seed: result for seed, result in results.items() if result.replaced > MAX_REPLACEMENT_TIME}
+        late = {
+            seed: result for seed, result in results.items() if result.replacement_time > MAX_REPLACEMENT_TIME
+        }
         assert (
-            not late and mean([result.replaced for result in results.values()]) <= MAX_MEAN_REPLACEMENT_TIME
+            not late
+            and mean([result.replacement_time for result in results.values()]) <= MAX_MEAN_REPLACEMENT_TIME
         )
     elif loss <= 0.1:
         assert not [
-            seed for seed, result in results.items() if result.absent
+            seed for seed, result in results.items() if result.leaderless_time
         ]  # a reachable leader is never replaced
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from benchmarks.fleet_simulation import FleetSimulation, play_leadership_contests, play_random_faults
+from benchmarks.fleet_simulation import FleetSimulation, inject_leadership_faults, inject_random_faults
 from brambleplank.fleet import member, messages
 from brambleplank.fleet.errors import DatagramError, InvariantError
 from brambleplank.fleet.leases import budgets
@@ -38,9 +38,9 @@
     """Raises InvariantError if the simulation finds a violation, or a member logs one."""
     simulation, rng = random_simulation(seed)
     if seed % 25:
-        play_random_faults(simulation, steps, rng)
+        inject_random_faults(simulation, steps, rng)
     else:
-        play_leadership_contests(simulation, rng)
+        inject_leadership_faults(simulation, rng)
     for node in simulation.nodes:
         for line in node.log_lines:
             if "report" in line:
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -12,13 +12,13 @@
 from benchmarks.fleet import (
     Grouping,
     Rows,
-    add_state,
+    add_process_counts,
     attempts_by_result,
     count,
-    follow,
-    foot,
-    happenings,
+    counted_events,
+    missing_data_lines,
     reason_of,
+    request_lines,
     tables,
 )
 from benchmarks.fleet_logs import FleetLog, read_fleet
@@ -80,7 +80,7 @@
 
 
 def by_second(log: FleetLog) -> Rows:
-    return count(happenings(log), Grouping(log, 3.0).second)
+    return count(counted_events(log), Grouping(log, 3.0).second)
 
 
 def counts(row: Counter[str]) -> dict[str, int]:
@@ -90,9 +90,9 @@
 def test_runs_begin_after_a_stop_or_at_a_second_ping(log: FleetLog) -> None:
     runs = [(run.process, run.number) for run in log.runs]
     assert runs == [("n1", 0), ("n1", 1), ("n2", 0), ("n2", 1)]
-    assert [run.began - ZERO for run in log.runs] == pytest.approx([0.1, 6.0, 0.2, 7.0])
-    assert [run.ended - ZERO for run in log.runs if run.ended] == pytest.approx([4.8, 7.0])
-    assert [run.ended is None for run in log.runs] == [False, True, False, True]
+    assert [run.started_at - ZERO for run in log.runs] == pytest.approx([0.1, 6.0, 0.2, 7.0])
+    assert [run.ended_at - ZERO for run in log.runs if run.ended_at] == pytest.approx([4.8, 7.0])
+    assert [run.ended_at is None for run in log.runs] == [False, True, False, True]
 
 
 def test_a_request_counts_as_it_came_and_its_end_as_it_ended(log: FleetLog) -> None:
@@ -120,7 +120,7 @@
 
 def test_gates_and_processes_are_counted_at_the_end_of_a_second(log: FleetLog) -> None:
     rows: Rows = {f"{second:3d}": Counter() for second in range(8)}
-    add_state(log, rows)
+    add_process_counts(log, rows)
     state = {int(second): (row["gates"], row["processes"]) for second, row in rows.items()}
     assert state == {
         0: (1, 2),  # at 1.0 the gate of n2 has just narrowed
@@ -149,7 +149,7 @@
 
 
 def test_process_ages_are_told_apart(log: FleetLog) -> None:
-    rows = count(happenings(log), Grouping(log, 3.0).age)
+    rows = count(counted_events(log), Grouping(log, 3.0).age)
     assert {age: row["asked"] for age, row in rows.items()} == {
         "not restarted": 7,
         "restarted < 3 s": 1,
@@ -158,15 +158,15 @@
 
 
 def test_what_is_missing_is_said(log: FleetLog) -> None:
-    said = "\n".join(foot(log))
+    said = "\n".join(missing_data_lines(log))
     assert "2 processes, 2 restarts" in said
     assert "7 lines dropped by processes, 1 of no known form" in said
     assert "service type, tenant and key" in said
 
 
 def test_a_request_is_followed_by_its_id(log: FleetLog) -> None:
-    assert follow(log, "ad") == ["   3.900     n1 " + end("rejected", "ad", 2, 1.0)]
-    assert follow(log, "a") == []
+    assert request_lines(log, "ad") == ["   3.900     n1 " + end("rejected", "ad", 2, 1.0)]
+    assert request_lines(log, "a") == []
 
 
 TRACED_FIRST = log_of(
@@ -198,7 +198,7 @@
 
 
 def test_traced_requests_count_by_service_type(traced: FleetLog) -> None:
-    rows = count(happenings(traced), Grouping(traced, 3.0).service_type)
+    rows = count(counted_events(traced), Grouping(traced, 3.0).service_type)
     assert {kind: (row["asked"], row["established"]) for kind, row in rows.items()} == {
         "level": (2, 1),
         "wind": (1, 0),
@@ -207,7 +207,7 @@
 
 
 def test_a_client_that_comes_again_is_followed_through_all_processes(traced: FleetLog) -> None:
-    followed = follow(traced, "ba")
+    followed = request_lines(traced, "ba")
     assert [line.split()[1:5] for line in followed] == [
         ["n1", "trace", "request", "aa"],
         ["n1", "trace", "attempt", "aa"],
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from benchmarks.fleet_simulation import FleetSimulation, SimulatedMember, play_random_faults
+from benchmarks.fleet_simulation import FleetSimulation, SimulatedMember, inject_random_faults
 from brambleplank.fleet import messages
 from brambleplank.fleet.errors import InvariantError
 from brambleplank.fleet.routing import route_table
@@ -350,5 +350,5 @@
 def test_versions_hold_under_the_faults_of_budgets() -> None:
     for seed in range(6):
         simulation = AgreementSimulation(3, seed)
-        play_random_faults(simulation, 30, Random(seed))
+        inject_random_faults(simulation, 30, Random(seed))
     assert proposer.PROPOSAL_TIMEOUT > proposer.VOTE_WAIT
