--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, each run by one command; no part of the tests."""
+"""Benchmarks, each run by one command; they are not part of the test suite."""
--- a/benchmarks/elections.py
+++ b/benchmarks/elections.py
@@ -1,11 +1,12 @@
-"""How long a fleet is without a leader, over many seeds in virtual time: by loss, and by who hears nothing.
+"""Measures how long a fleet has no leader, over many seeds in virtual time, by packet loss and by fault.
 
     python -m benchmarks.elections [--seeds 100] [--first 0] [--members 5] [--quick]
 
-Each line gives the mean, the 99th percentile and the longest of two times over the seeds: from the fault
-until another member leads (where the fault is the leader's), and the longest time on end without a leader in
-the minute after the fault; and the mean of all time without a leader in that minute. `--quick` plays with the
-short times of the process tests, whose turns and delays are as long as ever, and its links repeat datagrams.
+Each row gives the mean, the 99th percentile and the maximum of two times over the seeds: the time from the
+fault until another member leads (meaningful where the fault is the leader's), and the longest uninterrupted
+time without a leader in the minute after the fault. The last column is the mean total time without a leader
+in that minute. `--quick` uses the short lease and heartbeat of the process tests, with the usual tick
+interval, longer link delays and duplicated datagrams.
 """
 
 from __future__ import annotations
@@ -19,40 +20,40 @@
 if TYPE_CHECKING:
     from benchmarks.fleet_simulation import FleetSimulation, SimulatedMember
 
-STEP = 0.05  # seconds between two looks
-SETTLING_TIME = 20.0  # seconds for a first leader
+STEP = 0.05  # seconds between two checks for a leader
+SETTLING_TIME = 20.0  # seconds for the first election, at a lease duration of 4 seconds
 OBSERVATION_TIME = 60.0  # seconds after the fault
 LOSSES = (0.0, 0.1, 0.2, 0.3)
 FAULTS = (
     "none",
-    "a member hears nobody",
-    "the leader hears nobody",
-    "nobody hears the leader",
+    "member cannot receive",
+    "leader cannot receive",
+    "leader cannot send",
     "member, then leader",
 )
 
 
 @dataclass(frozen=True)
 class Links:
-    """What links do to datagrams."""
+    """Faults of the links between members."""
 
-    loss: float
+    loss: float  # probability
     max_delay: float = 0.02  # seconds
     duplication: float = 0.0  # probability
 
 
 @dataclass
 class FaultResult:
-    """What one seed came to, in seconds."""
+    """Times measured for one seed, in seconds."""
 
-    replacement_time: float  # until another member led; infinite if none did
-    longest_gap: float  # without a leader, on end
-    leaderless_time: float  # without a leader, in all
+    replacement_time: float  # from the fault until another member led; infinite if none did
+    longest_gap: float  # longest uninterrupted time without a leader
+    leaderless_time: float  # total time without a leader
 
 
 def simulate_fault(seed: int, fault: str, links: Links, members: int = 5) -> FaultResult:
-    """Plays one fleet with one fault."""
-    from benchmarks.fleet_simulation import FleetSimulation  # after --quick has changed the times
+    """Simulates one fleet with one fault."""
+    from benchmarks.fleet_simulation import FleetSimulation  # imported after --quick has set the durations
 
     simulation = FleetSimulation(members, [], seed, check=False)
     simulation.links.loss = links.loss
@@ -61,7 +62,7 @@
     simulation.run(SETTLING_TIME * timing.LEASE_DURATION / 4)
     leader = inject_fault(simulation, fault, members)
     fault_at = simulation.now
-    last_led_at = simulation.now  # when a member led
+    last_led_at = simulation.now  # when a leader was last seen
     result = FaultResult(float("inf"), 0.0, 0.0)
     while simulation.now < fault_at + OBSERVATION_TIME:
         simulation.run(STEP)
@@ -77,17 +78,17 @@
 
 
 def inject_fault(simulation: FleetSimulation, fault: str, members: int) -> SimulatedMember:
-    """Cuts links by the name of a fault, and returns the member that led then."""
+    """Cuts the links of a named fault. Returns the leader at the time of the fault."""
     leader = wait_for_leader(simulation)
     member = (leader.number + 1) % members
-    if fault in ("a member hears nobody", "member, then leader"):
+    if fault in ("member cannot receive", "member, then leader"):
         simulation.links.cut = {(n, member) for n in range(members)}
     if fault == "member, then leader":
         simulation.run(1.5 * timing.LEASE_DURATION)
         leader = wait_for_leader(simulation)
-    if fault in ("the leader hears nobody", "member, then leader"):
+    if fault in ("leader cannot receive", "member, then leader"):
         simulation.links.cut = {(n, leader.number) for n in range(members)}
-    elif fault == "nobody hears the leader":
+    elif fault == "leader cannot send":
         simulation.links.cut = {(leader.number, n) for n in range(members)}
     return leader
 
@@ -107,7 +108,7 @@
 
 
 def main() -> None:
-    """Prints a line for each fault and loss."""
+    """Prints one row for each fault and loss."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=100)
     parser.add_argument("--first", type=int, default=0)
@@ -118,7 +119,7 @@
         timing.HEARTBEAT_INTERVAL = 0.25
         timing.LEASE_DURATION = 1.0
     print(
-        "fault                    loss  replaced: mean, 99 %, most   longest: mean, 99 %, most   absent: mean"
+        "fault                    loss  new leader: mean, p99, max   longest gap: mean, p99, max   total mean"
     )
     for fault in FAULTS:
         for loss in LOSSES:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,4 +1,4 @@
-"""A bare relay in Twisted: what passing bytes costs with no decision taken. `relay.py SERVER_PORT`."""
+"""A plain TCP relay in Twisted, the baseline without routing decisions. Usage: `relay.py SERVER_PORT`."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class RelaySide(protocol.Protocol):
-    """One side of a pair; it writes what it receives to the other."""
+    """One of two paired connections; forwards what it receives to its peer."""
 
     transport: Any
     peer: Any = None
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Passes bytes on."""
+        """Forwards received bytes to the peer."""
         self.peer.transport.write(data)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002, N802  the base class's argument
-        """Closes the other side."""
+        """Closes the peer."""
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.loseConnection()
 
 
 class ClientSide(RelaySide):
-    """The side of a client, which connects to the server before it reads."""
+    """The connection of a client; it is not read until the connection to the server is up."""
 
     def connectionMade(self) -> None:  # noqa: N802
         """Connects to the server."""
@@ -35,7 +35,7 @@
         creator.connectTCP("127.0.0.1", SERVER_PORT).addCallback(self.server_connected)
 
     def server_connected(self, server_side: Any) -> None:
-        """Joins both sides and reads from now on."""
+        """Pairs both connections, with backpressure either way, and starts reading from the client."""
         server_side.transport.setTcpNoDelay(True)
         self.peer = server_side
         server_side.peer = self
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,4 +1,4 @@
-"""Reading, linting and looking up in route tables of 10,000 rules, in four shapes.
+"""Times parsing, linting and lookups of route tables with 10,000 rules, in four shapes.
 
 `python -m benchmarks.routes [RULES]` prints a Markdown table.
 """
@@ -17,7 +17,7 @@
 
 
 def table_text(shape: str, rules: int) -> str:
-    """A table of customers, of disjoint keys, of all mixed, or of keys that overlap at random."""
+    """Returns the text of a table: by customer, by disjoint or random keys, or all conditions mixed."""
     rng = Random(1)
     lines = ['versions = ["v1", "v2", "v3"]']
     for n in range(rules):
@@ -38,8 +38,8 @@
 
 
 def main(rules: int) -> None:
-    """Prints a line for each shape of table."""
-    print("| rules | shape | read s | lint s | look-up us | findings |\n|" + " --- |" * 6)
+    """Prints one row per table shape."""
+    print("| rules | shape | parse s | lint s | lookup us | findings |\n|" + " --- |" * 6)
     for shape in ("customers", "keys", "mixed", "overlapping"):
         text = table_text(shape, rules)
         started_at = time.perf_counter()
@@ -53,7 +53,8 @@
         lookup_time = (time.perf_counter() - linted_at) / LOOKUPS * 1e6
         kinds = ", ".join(f"{kind} {count}" for kind, count in found.items()) or "none"
         print(
-            f"| {rules} | {shape} | {read_at - started_at:.2f} | {linted_at - read_at:.2f} | {lookup_time:.1f} | {kinds} |"
+            f"| {rules} | {shape} | {read_at - started_at:.2f} | {linted_at - read_at:.2f} "
+            f"| {lookup_time:.1f} | {kinds} |"
         )
 
 
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -1,7 +1,8 @@
-"""What budgets over a fleet cost and yield, in virtual time, beside static shares and optimistic counting.
+"""Compares leased fleet budgets with static shares and optimistic counting, in virtual time.
 
-`python -m benchmarks.sharing [MEMBERS ...]` prints a Markdown table. One budget of a rate; all demand is at
-one process; then the fleet is cut, with the leader among the fewer, and heals. Figures are simulated.
+`python -m benchmarks.sharing [MEMBERS ...]` prints a Markdown table. There is one rate budget. At first, all
+demand is at one process. Then the fleet is partitioned, with the leader in the minority, and heals. All
+figures are simulated.
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
 LIMIT = 1000  # units
 WINDOW = 10.0  # seconds
 STEP = 0.02  # seconds between two bursts of demand
-BURST = 4  # units wanted in each
-SETTLING_TIME = 25.0  # seconds until a simulated fleet lends
-MEASURED_TIME = 20.0  # seconds at the end of each part
+BURST = 4  # units requested in each
+SETTLING_TIME = 25.0  # seconds until a simulated fleet grants leases
+MEASURED_TIME = 20.0  # seconds measured at the end of each phase
 
 
 class StaticShares:
-    """Each member has an equal share for ever."""
+    """Baseline: each member has a fixed, equal share of the budget."""
 
     def __init__(self, members: int) -> None:
         self.share = LIMIT // members
         self.spent_at = [deque[float]() for _ in range(members)]
 
     def take(self, now: float, number: int, cut: bool) -> bool:
-        """Takes one unit at a member, if it may."""
+        """Uses one unit at a member, if its share allows. Returns whether it did."""
         spent_at = self.spent_at[number]
         while spent_at and spent_at[0] <= now - WINDOW:
             spent_at.popleft()
@@ -46,14 +47,14 @@
 
 
 class Report(NamedTuple):
-    """What one member told another of its use."""
+    """The use in the last window, as one member reported it to another."""
 
-    spent: int = 0
-    at: float = 0.0
+    spent: int = 0  # units
+    at: float = 0.0  # seconds
 
 
 class OptimisticCounting(StaticShares):
-    """Each tells the others what it has spent, and spends while the reports that it has leave room."""
+    """Baseline: members report their use, and each may use what the others' reports leave of the budget."""
 
     def __init__(self, members: int) -> None:
         super().__init__(members)
@@ -62,11 +63,11 @@
         self.minority = set(range((members - 1) // 2))
 
     def allowed(self, now: float, number: int, cut: bool) -> int:
-        """Returns what the reports of the others leave."""
+        """Returns the units that the last reports of the others leave."""
         if now >= self.reported_at + HEARTBEAT_INTERVAL:
             self.reported_at = now
             self.exchange_reports(now, cut)
-        # A report of a window ago says nothing any more.
+        # The use in a report has left the window when the report is one window old.
         others = (
             report.spent
             for sender, report in enumerate(self.reports[number])
@@ -75,7 +76,7 @@
         return LIMIT - sum(others)
 
     def exchange_reports(self, now: float, cut: bool) -> None:
-        """Each member reports to all that it can reach."""
+        """Sends a report from each member to all that it can reach."""
         for sender, spent_at in enumerate(self.spent_at):
             report = Report(sum(at > now - WINDOW for at in spent_at), now)
             for receiver in range(len(self.spent_at)):
@@ -96,7 +97,7 @@
 
 
 def baseline_row(members: int, sharing: Callable[[int], StaticShares]) -> list[str]:
-    """The same demand: at one, then at one on either side of a cut."""
+    """Returns the row of a baseline: demand at one member, then at one member on each side of a partition."""
     budget = sharing(members)
     spent_at: list[float] = []
     used: list[float] = []
@@ -117,7 +118,7 @@
 
 
 def use(simulation: FleetSimulation, nodes: list[SimulatedMember], seconds: float) -> list[float]:
-    """Returns the share of the budget that each member used, wanting all of it."""
+    """Returns the fraction of the budget that each member used while demand exceeded the budget."""
     counts = [0] * len(nodes)
     for _ in range(int(seconds / STEP)):
         simulation.run(STEP)
@@ -127,7 +128,7 @@
 
 
 def lease_row(members: int) -> list[str]:
-    """The same demand on a simulated fleet that leases."""
+    """Returns the row of a simulated fleet with leases, under the same demand."""
     simulation = FleetSimulation(members, [Budget("rate", LIMIT, WINDOW, members)], 1, check=False)
     simulation.run(SETTLING_TIME)
     leader = simulation.leader()
@@ -157,7 +158,7 @@
 
 
 def recovery_time(simulation: FleetSimulation, member: SimulatedMember) -> float:
-    """Returns the seconds from the end of all cuts until a member can use half of the budget."""
+    """Returns the seconds from the end of the partition until a member can use half of the budget."""
     simulation.links.cut.clear()
     healed_at = simulation.now
     while use(simulation, [member], 0.5)[0] < 0.5 and simulation.now < healed_at + 90:
@@ -166,17 +167,17 @@
 
 
 def main(members: list[int]) -> None:
-    """Prints a line for each number of members and each way."""
+    """Prints one row for each fleet size and method."""
     columns = (
         "members",
-        "way",
-        "use at one",
-        "use, majority's part",
-        "use, minority's part",
-        "most in a window",
-        "bytes/s a process",
-        "bytes/s, in office",
-        "s from heal to half of it",
+        "method",
+        "use, one process",
+        "use, majority side",
+        "use, minority side",
+        "peak in a window",
+        "bytes/s, median process",
+        "bytes/s, busiest process",
+        "s from heal to half of the budget",
     )
     print("| " + " | ".join(columns) + " |\n|" + " --- |" * len(columns))
     for n in members:
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -1,8 +1,9 @@
-"""The sidecar beside a direct connection and a bare relay: time, CPU and memory, in one run.
+"""Compares the sidecar with a direct connection and a plain TCP relay: latency, CPU and memory, in one run.
 
     python -m benchmarks.sidecar            # about a minute; needs the extra `bench`
 
-All on loopback. CPU and memory are the kernel's account of the process in the middle; times are the client's.
+All traffic is on loopback. CPU and memory of the process in the middle are read from /proc; latencies are
+measured at the client.
 """
 
 from __future__ import annotations
@@ -32,12 +33,12 @@
 IDLE_CONNECTIONS = 1000
 ROUNDS = 3
 SERVICE_TYPE = ServiceType("views", "repeatable", Seconds(0.3), Seconds(1.8))
-FLOW_IDS = count(1)  # an id is used once
+FLOW_IDS = count(1)  # request ids; none is used twice
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 class Client(asyncio.Protocol):
-    """Opens, then sends a line for each that comes back."""
+    """Opens a session, then answers each received line with the next one, `lines` times."""
 
     transport: Any
 
@@ -71,7 +72,7 @@
 
 
 class Target:
-    """One way to the server: its port, and the process in the middle, if there is one."""
+    """What clients connect to: a port, and the process in the middle (pid 0: none, a direct connection)."""
 
     def __init__(self, name: str, port: int, pid: int = 0) -> None:
         self.name, self.port, self.pid = name, port, pid
@@ -140,7 +141,7 @@
 
 
 def start_sidecar(folder: Path, server: int, port: int) -> tuple[subprocess.Popen[str], float]:
-    """A sidecar, and the time from its start to its first UP."""
+    """Returns a new sidecar and the seconds from its start to the first UP."""
     (folder / "b.servers.toml").write_text(writer.servers_text([Server("feed1", f"127.0.0.1:{server}")]))
     file = File(
         "bench",
@@ -171,7 +172,7 @@
 
 
 def check_times(folder: Path) -> list[float]:
-    """Whole-process times of `check` on 2,000 servers."""
+    """Returns the run times, in seconds, of the command `check` on a list of 2,000 servers."""
     servers = [Server(f"feed{n}", f"127.0.{n // 250}.{n % 250 + 1}:7501") for n in range(2000)]
     (folder / "many.servers.toml").write_text(writer.servers_text(servers))
     file = File(
@@ -198,7 +199,7 @@
     for target in targets:
         # Measured first: connections opened later would reuse memory that earlier ones have freed.
         await target.measure_connection_memory()
-    for _ in range(ROUNDS):  # in turn, so that a drift of the machine meets all of them
+    for _ in range(ROUNDS):  # interleaved, so that changes in the machine's speed affect all targets
         for target in targets:
             await target.measure_flows()
             await target.measure_lines()
@@ -209,8 +210,8 @@
         return " / ".join(f"{histogram.get_value_at_percentile(p) / 1000:.2f}" for p in (50, 99, 99.9))
 
     lines = [
-        "| way | setup p50 / p99 / p99.9, ms | line and back, ms | CPU a flow, µs | CPU a line, µs "
-        "| memory a connection, KiB |",
+        "| target | setup p50 / p99 / p99.9, ms | line round trip, ms | CPU per flow, µs | CPU per line, µs "
+        "| memory per connection, KiB |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
     for target in targets:
@@ -221,15 +222,16 @@
         ]
         cells = [f"{value:.1f}" if target.pid else "-" for value in cpu]
         lines.append(
-            f"| {target.name} | {percentiles(target.latencies[0])} | {percentiles(target.latencies[1])} | {' | '.join(cells)} |"
+            f"| {target.name} | {percentiles(target.latencies[0])} | {percentiles(target.latencies[1])} "
+            f"| {' | '.join(cells)} |"
         )
     sidecar, relay = targets[1], targets[2]
     lines += [
         "",
-        f"Times the bare relay: CPU a flow "
-        f"{statistics.median(sidecar.per_flow) / statistics.median(relay.per_flow):.2f}, a line "
-        f"{statistics.median(sidecar.per_line) / statistics.median(relay.per_line):.2f}, memory a connection "
-        f"{sidecar.per_connection / relay.per_connection:.2f}.",
+        "Sidecar relative to the bare relay: CPU per flow "
+        f"{statistics.median(sidecar.per_flow) / statistics.median(relay.per_flow):.2f}, per line "
+        f"{statistics.median(sidecar.per_line) / statistics.median(relay.per_line):.2f}, "
+        f"memory per connection {sidecar.per_connection / relay.per_connection:.2f}.",
         f"Start to first UP: median {statistics.median(start_times):.2f} s of {len(start_times)}; "
         f"check of 2,000 servers: median {statistics.median(checks):.2f} s of {len(checks)}, whole process.",
     ]
--- a/benchmarks/standin.py
+++ b/benchmarks/standin.py
@@ -1,4 +1,4 @@
-"""One stand-in server in a process of its own; it prints its port and ends with its standard input."""
+"""Runs one stand-in server as a process: prints its port, and exits when standard input is closed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 async def main() -> None:
-    """Serves until standard input ends."""
+    """Serves until standard input is closed."""
     server = StandIn("feed1")
     await server.listen()
     print(server.port, flush=True)
--- a/deploy/sites/lay_out.py
+++ b/deploy/sites/lay_out.py
@@ -1,9 +1,9 @@
-"""Lays out deployments that the operators' program is also played on: `python deploy/sites/lay_out.py KIT`.
+"""Generates variants of the operators' test deployments: `python deploy/sites/lay_out.py KIT`.
 
-Each file beside this one names the site of the kit that it comes from (`from`) and what it changes
-(`[changes]`). A key may be a path with dots, where a number is a place in a list; a list that is written out
-replaces the whole list. `arguments` are for the bench's command line: limits of a process, which are no part
-of a site. What is written, under `laid/`, is the kit's and not committed.
+Each TOML file in this folder names the site of the kit that it is based on (`from`) and the values to change
+(`[changes]`). A key may be a dotted path, in which a number is an index into a list; a list given as a value
+replaces the whole list. `arguments` are command-line arguments for the bench: limits of a process, which are
+not part of a site. The output in `laid/` is derived from the kit and is not committed.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 import tomlkit
 
-COMPANION_FILES = ("real.json", "wire.json", "unlock.txt")  # what the program looks for beside a site
-MERGED_TABLES = ("fam",)  # tables whose lists are changed one by one, not the table as a whole
+COMPANION_FILES = ("real.json", "wire.json", "unlock.txt")  # files that the bench expects next to a site
+MERGED_TABLES = ("fam",)  # their keys are changed one by one; the table itself is not replaced
 
 
 def set_value(site: Any, key: str, value: Any) -> None:
-    """Set the value at a path with dots."""
+    """Set the value at a dotted path."""
     *parents, last = key.split(".")
     for part in parents:
         site = site[int(part) if part.isdigit() else part]
@@ -28,7 +28,7 @@
 
 
 def changes(variant: Any) -> dict[str, Any]:
-    """Path and new value of each change of a variant."""
+    """Return the changes of a variant, as new values by dotted path."""
     found: dict[str, Any] = {}
     for key, value in variant["changes"].unwrap().items():
         if key in MERGED_TABLES:
@@ -39,7 +39,7 @@
 
 
 def lay_out(variant: Any, name: str, kit: Path, output: Path) -> Path:
-    """Write the site of a variant, with the files that the bench wants beside it, and return its path."""
+    """Write the site of a variant, copy the files that the bench expects next to it, and return its path."""
     base_path = kit / str(variant["from"])
     site = tomlkit.parse(base_path.read_text())
     for key, value in changes(variant).items():
@@ -54,7 +54,7 @@
 
 
 def main(kit: Path) -> None:
-    """Lay out each variant beside this file and print its site with the bench's arguments."""
+    """Write the site of each variant in this folder, and print its path with the bench's arguments."""
     folder = Path(__file__).parent
     for path in sorted(folder.glob("*.toml")):
         variant = tomlkit.parse(path.read_text())
