--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -1,10 +1,10 @@
-"""Consul as a source: drains on sockets beside the platform's watch, CPU a change, and a bad hour.
+"""Measures discovery through Consul: drains compared with the platform's watch, CPU per change, flapping.
 
     python -m benchmarks.consul --drains 200     # about three minutes; 1000 drains take a quarter of an hour
 
-Drains are timed at the stand-in servers: from the change at the stand-in agent (or discovery) to the last new
-flow that the draining server had; 0 where it had none. The bad hour is virtual time: the words of a scripted
-catalogue, and who would have been served by what each rule makes of them.
+Drains run on real sockets and are timed at the stand-in servers: from the change at the stand-in agent (or
+discovery) to the last new flow at the draining server; 0 if there was none. The unreliable hour is simulated
+in virtual time: a scripted catalog reports health, and the rules are compared by the share of flows served well.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 class DrainMeasurement:
-    """Flows all the time, and servers that drain in turn."""
+    """Opens flows at a steady rate while servers drain one after another."""
 
     def __init__(self, port: int, count: int) -> None:
         self.port, self.count = port, count
@@ -159,14 +159,14 @@
 
 
 class NullHost:
-    """A host that does nothing: what is timed is the decisions' own work."""
+    """A host that does nothing, so that only the work of the decisions is timed."""
 
     def __getattr__(self, name: str) -> Any:
         return lambda *_: 1.0
 
 
 def cpu_per_change(count: int, rounds: int = 60) -> tuple[float, float, float]:
-    """Milliseconds of CPU that one changed server costs among so many: decoding, weighing, the ring."""
+    """Returns CPU milliseconds per changed server of `count`: for decoding, evaluating health, and the ring."""
     members = [Member(f"x{n}", f"127.0.{n // 250}.{n % 250 + 1}:7501", "abc"[n % 3]) for n in range(count)]
     null_host: Any = NullHost()
     balancer = Balancer(null_host, decode_settings(platform_settings(FILE), sockets=True), 1)
@@ -195,13 +195,14 @@
 def simulate_unreliable_hour(
     settings: HealthSettings, passing_only: bool = False, seed: int = 1
 ) -> tuple[float, int]:
-    """The share of flows well served in a scripted hour, and how often the list changed.
+    """Returns the share of flows served well in a scripted hour, and how many servers were added or removed.
 
-    Well served is who comes to a server that is sound and not over its room.
+    A flow is served well if its server is alive and has capacity left.
 
-    Twelve servers in three zones, each with room for a sixth of the flows. What is true and what Consul says
-    differ: checks flap while servers are sound, one check of a zone breaks for ten minutes, all go critical
-    for half a minute, and now and then a server really dies, which its check tells a second later.
+    There are twelve servers in three zones, each with capacity for a sixth of the flows. What Consul reports
+    differs from the truth: checks flap while servers are alive, a check common to one zone fails for ten
+    minutes, all servers are critical for half a minute, and now and then a server really dies, which its check
+    reports a second later.
     """
     rng = random.Random(seed)
     names = [f"s{n}" for n in range(12)]
@@ -222,10 +223,10 @@
         def reported_status(name: str, now: float = now) -> HealthStatus:
             zone_critical = 1200 <= now < 1800 and zones[name] == "b"
             all_critical = 2700 <= now < 2730
-            is_dead = dead_since[name] + 1 <= now < dead_until[name]
+            known_dead = dead_since[name] + 1 <= now < dead_until[name]
             return (
                 HealthStatus.CRITICAL
-                if zone_critical or all_critical or is_dead or now < flap_until[name]
+                if zone_critical or all_critical or known_dead or now < flap_until[name]
                 else HealthStatus.PASSING
             )
 
@@ -255,7 +256,7 @@
         flow_count += 1
         if used:
             sound_servers = sum(now >= dead_until[name] for name in used)
-            # Two connects a flow, so one dead server of several costs little; too few have too little room.
+            # A flow fails if both of its attempts reach a dead server; fewer than six live ones lack capacity.
             dead = 1 - sound_servers / len(used)
             well_served += (1 - dead * dead) * min(1.0, sound_servers / 6)
     return well_served / flow_count, change_count
@@ -267,7 +268,7 @@
     count = parser.parse_args().drains
     with tempfile.TemporaryDirectory() as folder:
         drains = asyncio.run(measure_drains(count, Path(folder)))
-    print("| source | drains | last new flow after the change, ms: p50 / p99 / worst | over the window |")
+    print("| source | drains | last new flow after the change, ms: p50 / p99 / max | later than the window |")
     print("| --- | --- | --- | --- |")
     for source_name, each in drains.items():
         times = " / ".join(
@@ -279,11 +280,11 @@
             )
         )
         print(f"| {source_name} | {each.count} | {times} | {each.late} |")
-    print("\n| servers | decoding an answer, ms | weighing, ms | list and ring, ms |")
+    print("\n| servers | decoding an answer, ms | evaluating health, ms | list and ring, ms |")
     print("| --- | --- | --- | --- |")
     for servers in (100, 1000, 5000):
         print(f"| {servers} | " + " | ".join(f"{value:.2f}" for value in cpu_per_change(servers)) + " |")
-    print("\n| rule | flows well served in the bad hour | servers that came or went |\n| --- | --- | --- |")
+    print("\n| rule | flows served well in unreliable hour | servers added or removed |\n| --- | --- | --- |")
     for name, (share, change_count) in (
         (
             "passing only",
@@ -292,8 +293,11 @@
             ),
         ),
         ("no damping", simulate_unreliable_hour(HealthSettings(settle_time=0.0, recovery_time=0.0))),
-        ("no share of healthy", simulate_unreliable_hour(HealthSettings(min_healthy_share=0.0))),
-        ("as it is", simulate_unreliable_hour(HealthSettings())),
+        (
+            "no minimum share of healthy servers",
+            simulate_unreliable_hour(HealthSettings(min_healthy_share=0.0)),
+        ),
+        ("defaults", simulate_unreliable_hour(HealthSettings())),
     ):
         print(f"| {name} | {share:.4f} | {change_count} |")
 
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -1,9 +1,9 @@
-"""One process of a fleet of 1,024 before 1,024 servers, beside a small one: start, ring, memory.
+"""Measures one process of a fleet of 1,024 with 1,024 servers, and of smaller fleets: start, ring, memory.
 
-    python -m benchmarks.large_fleet        # some seconds
+    python -m benchmarks.large_fleet        # takes some seconds
 
-The process is real, on loopback; its memory is the kernel's account. Then every other process reports a
-connection at each server to it, as all do to the one that adds up for them.
+The process is real and runs on loopback; its memory is read from /proc. Then it receives a load report from
+every other process with one connection at each server, as an aggregator does.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 SIZES = ((3, 32), (230, 400), (1024, 1024))  # processes, servers
 ROUNDS = 5
-START_TIMEOUT = 30.0
+START_TIMEOUT = 30.0  # seconds
 PEER_PORT = 7946
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 SETTINGS: dict[str, Any] = {
@@ -75,7 +75,7 @@
 
 
 class Process:
-    """The program under a configuration of so many processes and servers."""
+    """The program, configured for a number of processes and servers."""
 
     def __init__(self, folder: Path, processes: int, servers: int) -> None:
         self.port = unused_port()
@@ -101,7 +101,7 @@
         )
         while not self.ping():
             if self.process.poll() is not None or time.perf_counter() > started_at + START_TIMEOUT:
-                raise RuntimeError("it does not start")
+                raise RuntimeError("the program did not start")
         self.start_time = time.perf_counter() - started_at
 
     def ping(self) -> bool:
@@ -113,13 +113,13 @@
             return False
 
     def resident_mib(self) -> float:
-        """MiB."""
+        """Returns the resident memory, in MiB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         line = next(line for line in status.splitlines() if line.startswith("VmRSS"))
         return int(line.split()[1]) / 1024
 
     def cpu_time(self) -> float:
-        """Seconds."""
+        """Returns the CPU time used so far, in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
@@ -129,7 +129,7 @@
 
 
 def load_report_datagrams(servers: int) -> list[bytes]:
-    """The datagrams in which a process says that it holds one connection at each server."""
+    """Returns the datagrams of a load report with one connection at each server."""
     tags = ServerTags(Server(host["host"], 0.0) for host in hosts(servers))
     sent: list[bytes] = []
     unused: Any = None
@@ -154,11 +154,11 @@
             sender.bind((peer_host(number), PEER_PORT))
             for data in datagrams:
                 sender.sendto(data, (peer_host(0), PEER_PORT))
-        process.ping()  # it has had a turn to read them: none is lost for want of room
+        process.ping()  # its answer shows that it could read them, so the socket buffer does not overflow
 
 
 def measure_ring_build(servers: int) -> float:
-    """Seconds for the records of so many servers and their ring."""
+    """Returns the seconds to create the records of some servers and build their ring."""
     started_at = time.perf_counter()
     listed = [Server(host["host"], 0.0) for host in hosts(servers)]
     HashRing().build(listed)
@@ -166,9 +166,7 @@
 
 
 def main() -> None:
-    print(
-        "processes servers | start s: median, most | resident MiB | ring s | told by all: datagrams, MiB, s"
-    )
+    print("processes servers | start s: median, max | resident MiB | ring s | reports: datagrams, MiB, CPU s")
     for processes, servers in SIZES:
         start_times, resident_mib = [], []
         datagrams = load_report_datagrams(servers)
