--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -4,7 +4,7 @@
 
 Drains run on real sockets and are timed at the stand-in servers: from the change at the stand-in agent (or
 discovery) to the last new flow at the draining server; 0 if there was none. The unreliable hour is simulated
-in virtual time: a scripted catalog reports health, and the rules are compared by the share of flows served well.
+in virtual time: a scripted catalog reports health, and rules are compared by the share of flows served well.
 """
 
 from __future__ import annotations
@@ -166,7 +166,7 @@
 
 
 def cpu_per_change(count: int, rounds: int = 60) -> tuple[float, float, float]:
-    """Returns CPU milliseconds per changed server of `count`: for decoding, evaluating health, and the ring."""
+    """Returns CPU milliseconds per changed server of `count`: decoding, evaluating health, the ring."""
     members = [Member(f"x{n}", f"127.0.{n // 250}.{n % 250 + 1}:7501", "abc"[n % 3]) for n in range(count)]
     null_host: Any = NullHost()
     balancer = Balancer(null_host, decode_settings(platform_settings(FILE), sockets=True), 1)
@@ -201,8 +201,8 @@
 
     There are twelve servers in three zones, each with capacity for a sixth of the flows. What Consul reports
     differs from the truth: checks flap while servers are alive, a check common to one zone fails for ten
-    minutes, all servers are critical for half a minute, and now and then a server really dies, which its check
-    reports a second later.
+    minutes, all servers are critical for half a minute, and now and then a server really dies, which its
+    check reports a second later.
     """
     rng = random.Random(seed)
     names = [f"s{n}" for n in range(12)]
@@ -256,7 +256,7 @@
         flow_count += 1
         if used:
             sound_servers = sum(now >= dead_until[name] for name in used)
-            # A flow fails if both of its attempts reach a dead server; fewer than six live ones lack capacity.
+            # A flow fails if both its attempts reach a dead server; fewer than six live ones lack capacity.
             dead = 1 - sound_servers / len(used)
             well_served += (1 - dead * dead) * min(1.0, sound_servers / 6)
     return well_served / flow_count, change_count
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,19 +1,19 @@
-"""Tables over a whole fleet from its processes' logs: what each did alone, added up.
+"""Prints tables for a whole fleet, summed over the logs of its processes.
 
     python -m benchmarks.fleet LOGS [--by second|age|type|server|process|reason]
         [--split age|type] [--young 3]
     python -m benchmarks.fleet LOGS --request ID
 
-LOGS is a folder with one log a process; `benchmarks/fleet_logs.py` says what is read. `--split` prints one
-table for each age of process, or for each service type. `--young` is how many seconds a process counts as
-just restarted. `--request` prints all lines of one request in order of time, each with its process; where
-the logs are a trial's with trace lines, also those of the same client's other requests, as a client that
-comes again has a new id.
+LOGS is a folder with one log per process; `benchmarks/fleet_logs.py` describes the lines that are read.
+`--split` prints one table for each process age or each service type. `--young` is the number of seconds for
+which a process counts as just restarted. `--request` prints all lines of one request in order of time, each
+with its process. If the logs have trace lines, it also prints those of the same client's other requests,
+since a reconnecting client has a new request id.
 
-Columns by the time at which a request came in: asked, established, rejected without any attempt (no-try) or
-after some (tried), aborted, gave-up (the client, before an answer), attempts and how many of them failed.
-Columns by the time of an end: ended, served, moved, client-end, lost. gates, processes: at the end of the
-second, how many processes have a narrow gate, and how many run.
+Columns counted when a request arrives: asked (requests), established, rejected without any attempt (no-try)
+or after some (tried), aborted, gave-up (the client left before an answer), attempts, and failed attempts.
+Columns counted when a connection ends: ended, served, moved, client-end, lost. limited, processes: the number
+of processes whose concurrency limit is below one, and of running processes, at the end of the second.
 """
 
 from __future__ import annotations
@@ -28,28 +28,28 @@
 from benchmarks.fleet_logs import FleetLog, Outcome, RequestEnd, Run, read_fleet
 
 MAX_COLUMN_WIDTH, MIN_COLUMN_WIDTH = 24, 6  # characters of a column
-MAX_COLUMNS = 14  # of a table whose columns are not given
+MAX_COLUMNS = 14  # of a table without given columns
 DEFAULT_YOUNG_AGE = 3.0  # seconds for which a process counts as just restarted
 NOT_RESTARTED, RESTARTED = "not restarted", "restarted"
 UNKNOWN = "unknown"
 ARRIVAL_COLUMNS = ("asked", "established", "no-try", "tried", "aborted", "gave-up", "attempts", "failed")
 END_COLUMNS = ("ended", "served", "moved", "client-end", "lost")
-PROCESS_COLUMNS = ("gates", "processes")
+PROCESS_COLUMNS = ("limited", "processes")
 NOT_LOGGED = (
-    "sessions that stood at the end of the logs, or in a process that was killed, have no line",
-    "when a session was established is not told: it counts in the second in which its request came in",
+    "sessions that were open at the end of the logs, or in a process that was killed",
+    "the time at which a session was established: it counts in the second in which its request arrived",
 )
 NOT_LOGGED_UNTRACED = (
     "service type, tenant and key of a request",
-    "time, server and result of each attempt: all but an established request's last are taken as failed,"
-    " in the second in which the request came in",
-    "why a request was rejected: the reason is what its process said of itself at that moment",
+    "time, server and result of each attempt: all but the last of an established request count as failed,"
+    " in the second in which the request arrived",
+    "why a request was rejected: the reason given is the state of its process at that moment",
 )
 
 
 @dataclass(frozen=True)
 class CountedEvent:
-    """Something that a table counts: in which column, when, and of which request."""
+    """An event that a table counts: its column, its time, and the request it belongs to."""
 
     column: str
     at: float
@@ -59,13 +59,13 @@
 
 @dataclass(frozen=True)
 class Grouping:
-    """By what the rows of a table are told apart, or tables from one another."""
+    """The keys by which events are grouped into rows, or into tables."""
 
     log: FleetLog
     young: float
 
     def age(self, event: CountedEvent) -> str:
-        """Whether its process has just been restarted."""
+        """Returns whether the process was restarted, and whether that was just before the event."""
         run = event.end.run
         if run.number == 0:
             return NOT_RESTARTED
@@ -89,34 +89,34 @@
 
 
 def second_of(log: FleetLog, at: float) -> str:
-    """The second of the day, as rows are named."""
+    """Returns the row name of a time: the second of the day."""
     return f"{int(at - log.day_start):3d}"
 
 
 def type_of(log: FleetLog, request_id: str) -> str:
-    """The service type of a request, where a trace tells it."""
+    """Returns the service type of a request, if it was traced."""
     request = log.requests.get(request_id)
     return request.service_type if request else UNKNOWN
 
 
 def reason_of(end: RequestEnd) -> str:
-    """Why a request ended as it did, as far as its process's log tells."""
+    """Returns why a request ended, as far as the log of its process shows."""
     if end.outcome is not Outcome.REJECTED:
         return end.code
     run, tries = end.run, "tried" if end.attempts else "no try"
     if run.is_limited(end.at):
-        state = "gate narrow"
+        state = "limit below one"
     elif run.stop_requested_at is not None and end.at >= run.stop_requested_at:
         state = "stopping"
     elif run.is_limited(end.arrived_at):
-        state = "gate narrow as it came"
+        state = "limit below one on arrival"
     else:
-        state = "gate open"
+        state = "limit at least one"
     return f"rejected, {tries}, {state}"
 
 
 def arrival_column(end: RequestEnd) -> str | None:
-    """Where a request counts by the second in which it came in, beside `asked`."""
+    """Returns the column, beside `asked`, that counts a request in the second of its arrival."""
     if end.established:
         return "established"
     if end.outcome is Outcome.REJECTED:
@@ -125,7 +125,7 @@
 
 
 def counted_events(log: FleetLog) -> Iterator[CountedEvent]:
-    """All that a table counts of requests. Connections that never brought a request are left out."""
+    """Yields the events that tables count. Connections that never sent a valid request are left out."""
     for end in log.ends:
         if end.outcome is Outcome.BAD_CLIENT:
             continue
@@ -143,7 +143,7 @@
 
 
 def count(found: Iterator[CountedEvent], key: Callable[[CountedEvent], str]) -> Rows:
-    """Rows by key, in the order of their names."""
+    """Counts events in rows by key, sorted by row name."""
     rows: Rows = {}
     for event in found:
         rows.setdefault(key(event), Counter())[event.column] += event.count
@@ -151,16 +151,16 @@
 
 
 def add_process_counts(log: FleetLog, rows: Rows) -> None:
-    """How many processes run, and how many with a narrow gate, at the end of each second of a table."""
+    """Adds the numbers of running processes and of limited ones at the end of each second."""
     for second, row in rows.items():
         at = log.day_start + int(second) + 1
         alive = [run for run in log.runs if run.alive(at)]
         row["processes"] = len(alive)
-        row["gates"] = sum(run.is_limited(at) for run in alive)
+        row["limited"] = sum(run.is_limited(at) for run in alive)
 
 
 def attempts_by_result(log: FleetLog, by_second: bool) -> Rows:
-    """Traced attempts by the second in which they began, or by whose service type, and by result."""
+    """Counts traced attempts by result, in rows by the second of their start or by service type."""
     rows: Rows = {}
     for attempt in log.attempts:
         key = second_of(log, attempt.at - attempt.delay) if by_second else type_of(log, attempt.request_id)
@@ -169,7 +169,7 @@
 
 
 def other_lines_by_second(log: FleetLog) -> Rows:
-    """What processes said otherwise, shortened to its first words, by second."""
+    """Counts other log lines by second, each shortened to the text before a colon."""
     rows: Rows = {}
     for other_line in log.other_lines:
         words = other_line.text.partition(":")[0] if other_line.server == "-" else other_line.text
@@ -178,7 +178,7 @@
 
 
 def table(rows: Rows, name: str, columns: tuple[str, ...] = (), without_total: tuple[str, ...] = ()) -> str:
-    """Rows and their total; with no columns given, those with the largest totals."""
+    """Formats rows and their total. Without given columns, those with the largest totals are shown."""
     total: Counter[str] = sum(rows.values(), Counter())
     columns = columns or tuple(column for column, _ in total.most_common(MAX_COLUMNS))
     for column in without_total:
@@ -195,7 +195,7 @@
 
 
 def request_lines(log: FleetLog, request_id: str) -> list[str]:
-    """All lines of a request and, where keys are traced, of the same client's others, in order of time."""
+    """Returns all lines of a request, and of others with the same key if traced, in order of time."""
     request_ids = {request_id}
     if request := log.requests.get(request_id):
         request_ids |= {each.request_id for each in log.requests.values() if each.key == request.key}
@@ -207,21 +207,21 @@
 
 
 def process_counts(runs: list[Run]) -> str:
-    """How many processes started, and were started anew."""
+    """Returns the numbers of processes and of restarts, as text."""
     return f"{sum(run.number == 0 for run in runs)} processes, {sum(run.number > 0 for run in runs)} restarts"
 
 
 def missing_data_lines(log: FleetLog) -> list[str]:
-    """What the logs do not have."""
+    """Returns the lines below the tables: counts of processes and unread lines, and what the logs lack."""
     lines = [process_counts(log.runs)]
     if log.dropped or log.unrecognized:
-        lines.append(f"{log.dropped} lines dropped by processes, {log.unrecognized} of no known form")
+        lines.append(f"{log.dropped} lines dropped by processes, {log.unrecognized} of unknown form")
     missing = NOT_LOGGED if log.traced else NOT_LOGGED + NOT_LOGGED_UNTRACED
     return lines + [f"not in these logs: {what}" for what in missing]
 
 
 def tables(log: FleetLog, grouping: Grouping, by: str, split: str | None) -> Iterator[str]:
-    """The tables that were asked for."""
+    """Yields the requested tables."""
     keys: dict[str, Callable[[CountedEvent], str]] = {
         "second": grouping.second,
         "age": grouping.age,
@@ -247,7 +247,7 @@
 
 
 def read_arguments() -> argparse.Namespace:
-    """The command line; exit code 2 where the folder is none."""
+    """Parses the command line; exits with code 2 if LOGS is not a folder."""
     form = argparse.RawDescriptionHelpFormatter
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=form)
     parser.add_argument("logs", type=Path)
@@ -258,20 +258,20 @@
     parser.add_argument("--request")
     arguments = parser.parse_args()
     if not arguments.logs.is_dir():
-        parser.exit(2, f"{arguments.logs}: no folder of logs\n")
+        parser.exit(2, f"{arguments.logs}: not a folder\n")
     return arguments
 
 
 def main() -> None:
-    """Print what was asked for; exit code 2 if there is nothing to print."""
+    """Prints the requested tables or lines; exits with code 2 if there are no log lines."""
     arguments = read_arguments()
     log = read_fleet(arguments.logs)
     if not log.lines:
-        print(f"{arguments.logs}: no line of a process in it", file=sys.stderr)
+        print(f"{arguments.logs}: no log line of a process found", file=sys.stderr)
         raise SystemExit(2)
     if arguments.request:
         lines = request_lines(log, arguments.request)
-        print("\n".join(lines) or f"{arguments.request}: in no line")
+        print("\n".join(lines) or f"{arguments.request}: found in no line")
         return
     for each in tables(log, Grouping(log, arguments.young), arguments.by, arguments.split):
         print(each, end="\n\n")
--- a/benchmarks/fleet_logs.py
+++ b/benchmarks/fleet_logs.py
@@ -1,13 +1,13 @@
 """Reads the logs of all processes of a fleet into typed records.
 
 A log holds the lines of one process name, over all its restarts. The lines are those of `docs/oncall.md`,
-with any words before the time; a number just before the time is taken for the second of the day. A trial
-copy of the program may add two lines, which the program itself does not write:
+with any text before the time. A number directly before the time is read as the second of the day. A trial
+build of the program may add two kinds of lines, which the program itself does not write:
 
     trace request ID type=TYPE key=KEY tenant=TENANT wait=SECONDS again=0
     trace attempt ID number=0 server=SERVER result=RESULT delay=SECONDS
 
-RESULT is `established` or how the attempt failed.
+RESULT is `established` or the way in which the attempt failed.
 """
 
 from __future__ import annotations
@@ -40,12 +40,12 @@
 LIMIT_RESTORED = "concurrency limit at one again"
 STOP_REQUESTED = "shutdown: requested"
 STOP_COMPLETED = "shutdown: drained"
-LIST_ENDED = "list: ended"  # may come after the end of a stop
-PING = "pinged"  # the bench's front pings a process once after each start, before it sends clients
+LIST_ENDED = "list: ended"  # may follow the end of a graceful shutdown
+PING = "pinged"  # the frontend of the bench pings a process once after each start, before it sends clients
 
 
 class Outcome(Enum):
-    """How a request, or the session it became, ended."""
+    """How a request or its session ended."""
 
     SERVED = "served"
     MOVED = "moved"
@@ -70,24 +70,26 @@
     "rejected": Outcome.REJECTED,
     "aborted": Outcome.ABORTED,
     "left": Outcome.GAVE_UP,
-}  # by reason code; the other codes are a bad client's
+}  # by reason code; all other codes mean BAD_CLIENT
 ESTABLISHED = frozenset({"bye", "moved", "drained", "closed", "reset", "broke", "error"})
 
 
 @dataclass(eq=False)
 class Run:
-    """One start of a process until its end."""
+    """One run of a process, from its start to its end."""
 
     process: str
-    number: int  # 0: its first start in these logs
+    number: int  # 0: the first run in these logs
     started_at: float
     pinged: bool = False
     stop_requested_at: float | None = None
     ended_at: float | None = None
-    limit_changes: list[float] = field(default_factory=list)  # narrows, opens, narrows, ...
+    limit_changes: list[float] = field(
+        default_factory=list
+    )  # times at which the limit fell below one, recovered, fell below one, ...
 
     def is_limited(self, at: float) -> bool:
-        """Whether its gate is narrow at this time."""
+        """Returns whether the concurrency limit was below one at a time."""
         return bisect_right(self.limit_changes, at) % 2 == 1
 
     def alive(self, at: float) -> bool:
@@ -100,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TracedRequest:
-    """A request as it came in, from a trial copy's trace."""
+    """The arrival of a request, from the trace of a trial build."""
 
     at: float
     run: Run
@@ -114,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TracedAttempt:
-    """How one attempt ended, from a trial copy's trace."""
+    """The end of one attempt, from the trace of a trial build."""
 
     at: float
     run: Run
@@ -138,7 +140,7 @@
 
     @property
     def arrived_at(self) -> float:
-        """When its request came in."""
+        """The time at which the request arrived."""
         return self.at - self.age
 
     @property
@@ -152,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OtherLine:
-    """Any other line that tells something, about one server or (`-`) about none."""
+    """Any other known line, about one server or (server `-`) the process."""
 
     at: float
     run: Run
@@ -162,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line as it stands, for what is printed unchanged."""
+    """A line of the log, to be printed unchanged."""
 
     at: float
     process: str
@@ -171,17 +173,17 @@
 
 @dataclass
 class FleetLog:
-    """All that the logs of a fleet tell."""
+    """The records of all logs of a fleet."""
 
-    day_start: float = 0.0  # Unix time at which the day begins
+    day_start: float = 0.0  # Unix time of second 0 of the day
     runs: list[Run] = field(default_factory=list)
     ends: list[RequestEnd] = field(default_factory=list)
     other_lines: list[OtherLine] = field(default_factory=list)
     requests: dict[str, TracedRequest] = field(default_factory=dict)
     attempts: list[TracedAttempt] = field(default_factory=list)
     lines: list[LogLine] = field(default_factory=list)
-    dropped: int = 0  # lines that processes say they have not written
-    unrecognized: int = 0  # lines of no known form
+    dropped: int = 0  # lines that processes dropped, by their own count
+    unrecognized: int = 0  # lines of unknown form
 
     @property
     def traced(self) -> bool:
@@ -189,14 +191,14 @@
 
 
 class ProcessReader:
-    """Reads the log of one process name into the log of the fleet."""
+    """Adds the log of one process name to the log of the fleet."""
 
     def __init__(self, fleet_log: FleetLog, process: str) -> None:
         self.fleet_log, self.process = fleet_log, process
         self.run: Run | None = None
 
     def read(self, at: float, text: str) -> None:
-        """One line of the log, in its order."""
+        """Reads the next line of the log."""
         self.fleet_log.lines.append(LogLine(at, self.process, text))
         end = END.fullmatch(text)
         run = self._run_of(at, text, pinged=end is not None and end["code"] == PING)
@@ -210,9 +212,9 @@
             self._read_other_line(at, run, text)
 
     def _run_of(self, at: float, text: str, pinged: bool) -> Run:
-        """The run that a line belongs to.
+        """Returns the run that a line belongs to.
 
-        A killed process leaves no last line: its next run begins here at the ping, a moment late.
+        A killed process logs no last line, so its next run is taken to start at the ping, slightly late.
         """
         run = self.run
         if run is None:
@@ -273,7 +275,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _TimedLine:
-    """A line of a log with its time and, where it tells one, the second of the day."""
+    """A line of a log with its time and, if present, the second of the day."""
 
     at: float
     day: float | None
@@ -290,7 +292,7 @@
 
 
 def read_fleet(folder: Path) -> FleetLog:
-    """Read each file of a folder as the log of one process; its name without suffix is the process's."""
+    """Reads each file of a folder as the log of the process named by the file name without its suffix."""
     fleet_log = FleetLog()
     zeros: list[float] = []
     for path in filter(Path.is_file, sorted(folder.iterdir())):
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -1,4 +1,4 @@
-"""Fleet tables from made-up logs: what is counted, in which second, for which process and reason."""
+"""Fleet tables from sample logs: what is counted, in which second, for which process and reason."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     return f"end {code} {request_id} server={server} connects={attempts} age={age:.3f}"
 
 
-# Restarted at 6.0; its gate narrows twice in its first run (counted once) and is narrow up to its end.
+# Restarted at 6.0. Its first run logs a limit below one twice (counted once), up to the end of the run.
 FIRST = log_of(
     (0.1, PING),
     (2.5, end("bye", "aa", 1, 2.0)),
@@ -54,7 +54,7 @@
     (9.5, end("bye", "af", 1, 0.2)),
     (9.6, "log: 7 lines dropped"),
 )
-# Killed between 5.0 and 7.0: only the second ping tells.
+# Killed between 5.0 and 7.0, which only the second ping shows.
 SECOND = log_of(
     (0.2, PING),
     (1.0, "concurrency limit below one: most attempts fail at every server"),
@@ -95,7 +95,7 @@
     assert [run.ended_at is None for run in log.runs] == [False, True, False, True]
 
 
-def test_a_request_counts_as_it_came_and_its_end_as_it_ended(log: FleetLog) -> None:
+def test_requests_count_when_they_arrive_and_ends_when_they_end(log: FleetLog) -> None:
     rows = by_second(log)
     assert counts(rows["  0"]) == {"asked": 1, "established": 1, "attempts": 1}
     assert counts(rows["  2"]) == {
@@ -113,17 +113,17 @@
     assert counts(rows["  5"]) == {"ended": 1, "lost": 1}
 
 
-def test_connections_that_bring_no_request_are_not_asked_for(log: FleetLog) -> None:
+def test_connections_without_a_request_are_not_counted(log: FleetLog) -> None:
     asked = sum(row["asked"] for row in by_second(log).values())
     assert asked == sum(each.request_id != "-" for each in log.ends) == 9
 
 
-def test_gates_and_processes_are_counted_at_the_end_of_a_second(log: FleetLog) -> None:
+def test_limited_and_running_processes_are_counted_at_the_end_of_a_second(log: FleetLog) -> None:
     rows: Rows = {f"{second:3d}": Counter() for second in range(8)}
     add_process_counts(log, rows)
-    state = {int(second): (row["gates"], row["processes"]) for second, row in rows.items()}
+    state = {int(second): (row["limited"], row["processes"]) for second, row in rows.items()}
     assert state == {
-        0: (1, 2),  # at 1.0 the gate of n2 has just narrowed
+        0: (1, 2),  # at 1.0 the limit of n2 has just fallen below one
         1: (0, 2),
         2: (0, 2),
         3: (1, 2),
@@ -136,19 +136,19 @@
 
 def test_a_reject_gets_the_state_of_its_process_as_reason(log: FleetLog) -> None:
     reasons = {each.request_id: reason_of(each) for each in log.ends}
-    assert reasons["ac"] == "rejected, no try, gate narrow"
-    assert reasons["ad"] == "rejected, tried, gate narrow"
-    assert reasons["ae"] == "rejected, no try, gate open"
+    assert reasons["ac"] == "rejected, no try, limit below one"
+    assert reasons["ad"] == "rejected, tried, limit below one"
+    assert reasons["ae"] == "rejected, no try, limit at least one"
     assert reasons["bc"] == "broke"
 
 
-def test_rejects_while_stopping_are_told_apart(tmp_path: Path) -> None:
+def test_rejects_while_stopping_have_their_own_reason(tmp_path: Path) -> None:
     stopping = log_of((0.1, PING), (1.0, "shutdown: requested"), (1.2, end("rejected", "aa", 1, 0.5)))
     (tmp_path / "n1.log").write_text(stopping)
     assert reason_of(read_fleet(tmp_path).ends[-1]) == "rejected, tried, stopping"
 
 
-def test_process_ages_are_told_apart(log: FleetLog) -> None:
+def test_process_ages_are_separate_rows(log: FleetLog) -> None:
     rows = count(counted_events(log), Grouping(log, 3.0).age)
     assert {age: row["asked"] for age, row in rows.items()} == {
         "not restarted": 7,
@@ -157,14 +157,14 @@
     }
 
 
-def test_what_is_missing_is_said(log: FleetLog) -> None:
-    said = "\n".join(missing_data_lines(log))
-    assert "2 processes, 2 restarts" in said
-    assert "7 lines dropped by processes, 1 of no known form" in said
-    assert "service type, tenant and key" in said
+def test_missing_data_is_listed(log: FleetLog) -> None:
+    footer = "\n".join(missing_data_lines(log))
+    assert "2 processes, 2 restarts" in footer
+    assert "7 lines dropped by processes, 1 of unknown form" in footer
+    assert "service type, tenant and key" in footer
 
 
-def test_a_request_is_followed_by_its_id(log: FleetLog) -> None:
+def test_lines_of_a_request_are_found_by_its_id(log: FleetLog) -> None:
     assert request_lines(log, "ad") == ["   3.900     n1 " + end("rejected", "ad", 2, 1.0)]
     assert request_lines(log, "a") == []
 
@@ -192,7 +192,7 @@
     return read_fleet(tmp_path)
 
 
-def test_traced_attempts_count_by_result_as_they_began(traced: FleetLog) -> None:
+def test_traced_attempts_count_by_result_when_they_began(traced: FleetLog) -> None:
     assert attempts_by_result(traced, by_second=True) == {"  1": {"timeout": 1}, "  2": {"established": 1}}
     assert attempts_by_result(traced, by_second=False) == {"level": {"timeout": 1, "established": 1}}
 
@@ -206,7 +206,7 @@
     assert len(list(tables(traced, Grouping(traced, 3.0), "second", "type"))) == 3
 
 
-def test_a_client_that_comes_again_is_followed_through_all_processes(traced: FleetLog) -> None:
+def test_lines_of_a_reconnecting_client_come_from_all_processes(traced: FleetLog) -> None:
     followed = request_lines(traced, "ba")
     assert [line.split()[1:5] for line in followed] == [
         ["n1", "trace", "request", "aa"],
@@ -223,7 +223,7 @@
     return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
 
 
-def test_the_command_line_prints_tables_and_refuses_what_is_no_folder(folder: Path) -> None:
+def test_command_line_prints_tables_and_rejects_a_missing_folder(folder: Path) -> None:
     for by in ("second", "age", "type", "server", "process", "reason"):
         done = run_tool(folder, "--by", by)
         assert done.returncode == 0 and done.stdout.splitlines()[0].split()[:2] == [by, "asked"], done.stderr
@@ -231,6 +231,6 @@
     assert refused.returncode == 2 and len(refused.stderr.splitlines()) == 1
 
 
-def test_the_command_line_refuses_logs_with_no_line(tmp_path: Path) -> None:
+def test_command_line_rejects_logs_without_lines(tmp_path: Path) -> None:
     refused = run_tool(tmp_path)
-    assert refused.returncode == 2 and "no line of a process" in refused.stderr
+    assert refused.returncode == 2 and "no log line of a process" in refused.stderr
