--- a/benchmarks/fleet_simulation.py
+++ b/benchmarks/fleet_simulation.py
@@ -54,7 +54,7 @@
         self.fleet: FleetMember | None = None  # None: it does not run
         self.stalled_until = 0.0
         self.start_number = 0  # grows with each start and each end
-        self.held: Counter[str] = Counter()  # open units, by budget
+        self.open_units: Counter[str] = Counter()  # open units, by budget
         self.log_lines: list[str] = []
 
 
@@ -125,7 +125,7 @@
             round(self.now * 1000) + node.start_number,
             self.clock(node),
             self.rng.getrandbits(32),
-            lambda data, to: self.carry(node, data, to),
+            lambda data, to: self.send_datagram(node, data, to),
             node.log_lines.append,
             lambda: list(SERVER_TAGS),
             self.check,
@@ -151,12 +151,12 @@
             return
         node.fleet = None
         node.start_number += 1
-        held = node.held
-        node.held = Counter()
-        for name, count in held.items():
+        open_units = node.open_units
+        node.open_units = Counter()
+        for name, count in open_units.items():
             self.expiring_units[name] += count
         expires_at = self.now + self.rng.choice([0.01, 0.5, 0.99]) * CONNECTION_EXPIRY
-        self.at(expires_at, lambda: self.expiring_units.subtract(held))
+        self.at(expires_at, lambda: self.expiring_units.subtract(open_units))
 
     def stall(self, node: SimulatedMember, seconds: float) -> None:
         """Stops a member's process for a time."""
@@ -168,15 +168,15 @@
 
     # Links.
 
-    def carry(self, node: SimulatedMember, data: bytes, to: int | None) -> None:
+    def send_datagram(self, node: SimulatedMember, data: bytes, to: int | None) -> None:
         """Takes a datagram from a member, to one other or to all."""
         self.sent[node.number] += 1
         for other in self.nodes if to is None else [self.nodes[to]]:
             if other is not node:
                 self.sent_bytes[node.number] += len(data)
-                self.carry_to(node, other, data)
+                self.transmit(node, other, data)
 
-    def carry_to(self, node: SimulatedMember, other: SimulatedMember, data: bytes) -> None:
+    def transmit(self, node: SimulatedMember, other: SimulatedMember, data: bytes) -> None:
         """Delivers a datagram as the link does: once or twice, late, or not at all."""
         link = node.number, other.number
         for _ in range(1 + (self.rng.random() < self.links.duplication)):
@@ -184,14 +184,14 @@
                 continue
             delay = self.links.extra_delay.get(link, 0.0)
             arrives_at = self.now + delay + self.rng.uniform(MIN_DELAY, self.links.max_delay)
-            self.at(arrives_at, partial(self.arrive, node.number, other, data))
+            self.at(arrives_at, partial(self.deliver, node.number, other, data))
 
-    def arrive(self, sender: int, node: SimulatedMember, data: bytes) -> None:
+    def deliver(self, sender: int, node: SimulatedMember, data: bytes) -> None:
         """Hands a datagram to a member; while it is stalled, it waits in the socket."""
         if node.fleet is None:
             return
         if self.now < node.stalled_until:
-            self.at(node.stalled_until, partial(self.arrive, sender, node, data))
+            self.at(node.stalled_until, partial(self.deliver, sender, node, data))
             return
         node.fleet.receive_datagram(self.clock(node), sender, data)
         self.check_one_leader()
@@ -202,7 +202,7 @@
 
     # Use of budgets, and the judgement.
 
-    def take(self, node: SimulatedMember, name: str) -> bool:
+    def acquire(self, node: SimulatedMember, name: str) -> bool:
         """Takes a unit at a member, if it runs. Raises InvariantError if the fleet now uses too much."""
         if not self.is_running(node) or node.fleet is None:
             return False
@@ -212,7 +212,7 @@
         self.served += 1
         budget = next(budget for budget in self.budgets if budget.name == name)
         if not budget.window:
-            node.held[name] += 1
+            node.open_units[name] += 1
         used = self.record_use(budget)
         self.peak_use[name] = max(self.peak_use[name], used)
         if used > budget.limit:
@@ -222,7 +222,7 @@
     def record_use(self, budget: Budget) -> int:
         """Returns the units in use over the fleet, one of which was taken now."""
         if not budget.window:
-            open_units = sum(node.held[budget.name] for node in self.nodes)
+            open_units = sum(node.open_units[budget.name] for node in self.nodes)
             return open_units + self.expiring_units[budget.name]
         spent_at = self.spent_at[budget.name]
         spent_at.append(self.now)
@@ -232,8 +232,8 @@
 
     def release(self, node: SimulatedMember, name: str) -> None:
         """Frees one open unit of a member, if it has one."""
-        if node.fleet is not None and self.is_running(node) and node.held[name]:
-            node.held[name] -= 1
+        if node.fleet is not None and self.is_running(node) and node.open_units[name]:
+            node.open_units[name] -= 1
             node.fleet.account(name).release()
 
     def check_one_leader(self) -> None:
@@ -247,8 +247,8 @@
         if node.fleet is None:
             return False
         candidacy = node.fleet.election.candidacy
-        has_begun = candidacy.is_active and candidacy.leader_since is not None
-        return has_begun and self.clock(node) < candidacy.support_expiry()
+        is_elected = candidacy.is_active and candidacy.leader_since is not None
+        return is_elected and self.clock(node) < candidacy.support_expiry()
 
     def leader(self) -> SimulatedMember | None:
         """Returns the member that leads."""
@@ -307,7 +307,7 @@
         simulation.run(rng.choice([0.01, 0.1, 0.3]))
         for budget in simulation.budgets:
             for _ in range(rng.choice([0, 1, 10])):
-                simulation.take(rng.choice(acquiring), budget.name)
+                simulation.acquire(rng.choice(acquiring), budget.name)
             if rng.random() < 0.3:
                 simulation.release(rng.choice(simulation.nodes), budget.name)
 
@@ -327,13 +327,13 @@
             simulation.run(0.1)
             for budget in simulation.budgets:
                 for _ in range(budget.limit // 10):
-                    simulation.take(holder, budget.name)
+                    simulation.acquire(holder, budget.name)
         inject_leadership_fault(simulation, leader, rival, holder, rng)
         for _ in range(rng.randint(40, 160)):
             simulation.run(0.1)
             for budget in simulation.budgets:
                 for _ in range(max(1, budget.limit // 10)):
-                    simulation.take(rng.choice(simulation.nodes), budget.name)
+                    simulation.acquire(rng.choice(simulation.nodes), budget.name)
 
 
 def inject_leadership_fault(
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -31,7 +31,7 @@
         self.share = LIMIT // members
         self.spent_at = [deque[float]() for _ in range(members)]
 
-    def take(self, now: float, number: int, cut: bool) -> bool:
+    def acquire(self, now: float, number: int, cut: bool) -> bool:
         """Uses one unit at a member, if its share allows. Returns whether it did."""
         spent_at = self.spent_at[number]
         while spent_at and spent_at[0] <= now - WINDOW:
@@ -108,7 +108,7 @@
             now += STEP
             for number in active_members:
                 for _ in range(BURST):
-                    if budget.take(now, number, cut):
+                    if budget.acquire(now, number, cut):
                         spent_at.append(now)
                         counts[number] += step * STEP >= seconds - MEASURED_TIME
         used += [count / (LIMIT * MEASURED_TIME / WINDOW) for count in counts.values()]
@@ -123,7 +123,7 @@
     for _ in range(int(seconds / STEP)):
         simulation.run(STEP)
         for n, node in enumerate(nodes):
-            counts[n] += sum(simulation.take(node, "rate") for _ in range(BURST))
+            counts[n] += sum(simulation.acquire(node, "rate") for _ in range(BURST))
     return [count / (LIMIT * seconds / WINDOW) for count in counts]
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -95,7 +95,7 @@
     def use(self, n: int, seconds: float, name: str) -> None:
         for _ in range(20):
             self.simulation.run(seconds / 20)
-            self.simulation.take(self.simulation.nodes[n], name)
+            self.simulation.acquire(self.simulation.nodes[n], name)
 
     @invariant()
     def no_invariant_is_violated(self) -> None:
@@ -125,7 +125,7 @@
     for step in range(250):
         simulation.run(0.1 if step < 100 else 0.05)
         for _ in range(10):
-            simulation.take(simulation.nodes[1 if step < 100 else 2], "count")
+            simulation.acquire(simulation.nodes[1 if step < 100 else 2], "count")
         if step == 100:
             simulation.kill(simulation.nodes[1])
             simulation.start(simulation.nodes[1])
@@ -225,7 +225,7 @@
         for _ in range(int(seconds * 100)):
             simulation.run(0.01)
             for _ in range(3):
-                simulation.take(simulation.nodes[number], "rate")
+                simulation.acquire(simulation.nodes[number], "rate")
         return (simulation.served - before) / (budget.limit * seconds / budget.window)
 
     simulation.run(15)
@@ -263,7 +263,7 @@
     for _ in range(120):
         simulation.run(60)
         for _ in range(20):
-            simulation.take(member, "count")
+            simulation.acquire(member, "count")
     assert not member.fleet.has_lease(simulation.clock(member))
     simulation.links.cut.clear()
     simulation.run(10)
@@ -322,4 +322,4 @@
     node.fleet.election.incarnation = 1
     simulation.run(20)
     assert any("starts a new one" in line for line in node.log_lines) and simulation.served == 0
-    assert simulation.take(node, "rate")
+    assert simulation.acquire(node, "rate")
--- a/tests/test_fleet_reports.py
+++ b/tests/test_fleet_reports.py
@@ -124,13 +124,13 @@
 def test_counts_reach_all_members_in_short_datagrams() -> None:
     simulation = FleetSimulation(5, [], 4)
     sizes: Counter[int] = Counter()
-    carry: Callable[..., None] = simulation.carry
+    send_datagram: Callable[..., None] = simulation.send_datagram
 
-    def carry_and_record(node: Any, data: bytes, to: int | None) -> None:
+    def record_and_send(node: Any, data: bytes, to: int | None) -> None:
         sizes[len(data)] += 1
-        carry(node, data, to)
+        send_datagram(node, data, to)
 
-    simulation.carry = carry_and_record  # type: ignore[method-assign]
+    simulation.send_datagram = record_and_send  # type: ignore[method-assign]
     simulation.run(15)
     for node in simulation.nodes:
         assert node.fleet
