--- a/benchmarks/fleet_simulation.py
+++ b/benchmarks/fleet_simulation.py
@@ -1,7 +1,8 @@
-"""A whole fleet in virtual time: members with clocks of their own, links that lose, delay, repeat and cut.
+"""Simulates a fleet in virtual time. Members have their own clocks; links lose, delay and repeat datagrams.
 
-It judges in true time, by its own record, what no member can see: whether a window or an instant ever held
-more than its budget, and whether two ever led at once. One seed gives one run.
+The simulation checks two invariants that no single member can check, in true time and from its own records:
+the fleet never uses more than a budget allows in any window or at any instant, and never has two leaders at
+once. Runs with the same seed are identical.
 """
 
 from __future__ import annotations
@@ -26,17 +27,17 @@
 
 @dataclass
 class LinkFaults:
-    """What happens to datagrams."""
+    """Faults that links apply to datagrams."""
 
     loss: float = 0.0  # probability
     duplication: float = 0.0  # probability
     max_delay: float = 0.02  # seconds
-    cut: set[tuple[int, int]] = field(default_factory=set)  # pairs of members, one way each
-    extra_delay: dict[tuple[int, int], float] = field(default_factory=dict)  # seconds, one way
+    cut: set[tuple[int, int]] = field(default_factory=set)  # (sender, receiver) pairs without a link
+    extra_delay: dict[tuple[int, int], float] = field(default_factory=dict)  # seconds, by (sender, receiver)
 
 
 class Event(NamedTuple):
-    """A call at a true time; those of one time keep their order."""
+    """A call scheduled at a true time; calls at the same time run in the order of scheduling."""
 
     at: float
     order: int
@@ -44,22 +45,22 @@
 
 
 class SimulatedMember:
-    """One member's process, and the clock of its machine."""
+    """The process of a member and the clock of its machine."""
 
     def __init__(self, number: int, offset: float, rate: float) -> None:
-        """Its clock shows `offset` plus `rate` times the true time."""
+        """The clock shows `offset` plus `rate` times the true time."""
         self.number = number
         self.offset = offset
         self.rate = rate
-        self.fleet: FleetMember | None = None  # None: it does not run
+        self.fleet: FleetMember | None = None  # None: the process is not running
         self.stalled_until = 0.0
-        self.start_number = 0  # grows with each start and each end
-        self.open_units: Counter[str] = Counter()  # open units, by budget
+        self.start_number = 0  # incremented at each start and each kill
+        self.open_units: Counter[str] = Counter()  # units of open connections, by budget
         self.log_lines: list[str] = []
 
 
 class FleetSimulation:
-    """A fleet whose members run on one queue of events."""
+    """A fleet whose members run on one event queue."""
 
     def __init__(
         self,
@@ -69,7 +70,7 @@
         rates: float = MAX_CLOCK_DRIFT,
         check: bool = True,
     ) -> None:
-        """`rates`: by how much clocks may differ; `check`: whether members check their invariants."""
+        """`rates`: the largest relative clock drift; `check`: whether members check their own invariants."""
         self.rng = Random(seed)
         self.budgets = budgets
         self.check = check
@@ -82,19 +83,21 @@
             for n in range(members)
         ]
         self.spent_at: dict[str, deque[float]] = {budget.name: deque() for budget in budgets}
-        self.expiring_units: Counter[str] = Counter()  # units of ended processes, not known to be free
-        self.peak_use: Counter[str] = Counter()  # in any window, or at any instant
+        self.expiring_units: Counter[str] = (
+            Counter()
+        )  # units of killed processes whose connections have not expired
+        self.peak_use: Counter[str] = Counter()  # largest use in any window or at any instant, by budget
         self.served = 0
         self.refused = 0
-        self.sent: Counter[int] = Counter()  # messages, by member
-        self.sent_bytes: Counter[int] = Counter()  # of datagrams, by member
+        self.sent: Counter[int] = Counter()  # messages sent, by member; a broadcast counts once
+        self.sent_bytes: Counter[int] = Counter()  # bytes of datagrams sent, by member
         for node in self.nodes:
             self.start(node)
 
     # Time.
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        """Schedules a call."""
+        """Schedules a call at a true time."""
         self.event_count += 1
         heapq.heappush(self.events, Event(when, self.event_count, call))
 
@@ -134,7 +137,7 @@
         self.at(self.now + self.rng.uniform(0, TICK_INTERVAL), tick)
 
     def tick(self, node: SimulatedMember, start_number: int) -> None:
-        """Lets one start of a member take its turn, and schedules the next one."""
+        """Runs a tick of a process and schedules the next one, unless the process has ended since."""
         if node.start_number != start_number or node.fleet is None:
             return
         tick = partial(self.tick, node, start_number)
@@ -146,7 +149,7 @@
         self.at(self.now + TICK_INTERVAL * self.rng.uniform(0.9, 1.1), tick)
 
     def kill(self, node: SimulatedMember) -> None:
-        """Ends a member's process. Its open units are in use until their connections are gone."""
+        """Ends a member's process. Its open units count as used until its connections expire."""
         if node.fleet is None:
             return
         node.fleet = None
@@ -159,7 +162,7 @@
         self.at(expires_at, lambda: self.expiring_units.subtract(open_units))
 
     def stall(self, node: SimulatedMember, seconds: float) -> None:
-        """Stops a member's process for a time."""
+        """Suspends a member's process for some seconds."""
         node.stalled_until = max(node.stalled_until, self.now + seconds)
 
     def is_running(self, node: SimulatedMember) -> bool:
@@ -169,7 +172,7 @@
     # Links.
 
     def send_datagram(self, node: SimulatedMember, data: bytes, to: int | None) -> None:
-        """Takes a datagram from a member, to one other or to all."""
+        """Sends a datagram from a member to another one, or to all others if `to` is None."""
         self.sent[node.number] += 1
         for other in self.nodes if to is None else [self.nodes[to]]:
             if other is not node:
@@ -177,7 +180,7 @@
                 self.transmit(node, other, data)
 
     def transmit(self, node: SimulatedMember, other: SimulatedMember, data: bytes) -> None:
-        """Delivers a datagram as the link does: once or twice, late, or not at all."""
+        """Transmits a datagram with the faults of its link: lost, delayed or duplicated."""
         link = node.number, other.number
         for _ in range(1 + (self.rng.random() < self.links.duplication)):
             if link in self.links.cut or self.rng.random() < self.links.loss:
@@ -187,7 +190,7 @@
             self.at(arrives_at, partial(self.deliver, node.number, other, data))
 
     def deliver(self, sender: int, node: SimulatedMember, data: bytes) -> None:
-        """Hands a datagram to a member; while it is stalled, it waits in the socket."""
+        """Delivers a datagram to a member. While the member is stalled, the datagram waits in its socket."""
         if node.fleet is None:
             return
         if self.now < node.stalled_until:
@@ -197,13 +200,13 @@
         self.check_one_leader()
 
     def cut(self, one: set[int], other: set[int]) -> None:
-        """Cuts all links between two parts, both ways."""
+        """Cuts all links between two groups of members, in both directions."""
         self.links.cut |= {pair for a in one for b in other for pair in ((a, b), (b, a))}
 
-    # Use of budgets, and the judgement.
+    # Use of budgets, and checks of the invariants.
 
     def acquire(self, node: SimulatedMember, name: str) -> bool:
-        """Takes a unit at a member, if it runs. Raises InvariantError if the fleet now uses too much."""
+        """Acquires a unit at a member, if it can. Raises InvariantError if the fleet exceeds the budget."""
         if not self.is_running(node) or node.fleet is None:
             return False
         if not node.fleet.try_acquire(self.clock(node), name):
@@ -220,7 +223,7 @@
         return True
 
     def record_use(self, budget: Budget) -> int:
-        """Returns the units in use over the fleet, one of which was taken now."""
+        """Records one acquired unit and returns the units in use over the whole fleet."""
         if not budget.window:
             open_units = sum(node.open_units[budget.name] for node in self.nodes)
             return open_units + self.expiring_units[budget.name]
@@ -231,19 +234,19 @@
         return len(spent_at)
 
     def release(self, node: SimulatedMember, name: str) -> None:
-        """Frees one open unit of a member, if it has one."""
+        """Releases an open unit of a running member, if it has one."""
         if node.fleet is not None and self.is_running(node) and node.open_units[name]:
             node.open_units[name] -= 1
             node.fleet.account(name).release()
 
     def check_one_leader(self) -> None:
-        """Raises InvariantError if two members lead."""
+        """Raises InvariantError if more than one member leads."""
         leaders = [node.number for node in self.nodes if self.is_running(node) and self.is_leader(node)]
         if len(leaders) > 1:
             raise InvariantError(f"{leaders} lead at {self.now:.3f}", "election")
 
     def is_leader(self, node: SimulatedMember) -> bool:
-        """Returns whether a member leads by its own clock, without changing its state."""
+        """Returns whether a member leads according to its own clock, without changing its state."""
         if node.fleet is None:
             return False
         candidacy = node.fleet.election.candidacy
@@ -251,12 +254,12 @@
         return is_elected and self.clock(node) < candidacy.support_expiry()
 
     def leader(self) -> SimulatedMember | None:
-        """Returns the member that leads."""
+        """Returns the leader, if any."""
         return next((node for node in self.nodes if self.is_running(node) and self.is_leader(node)), None)
 
 
 def inject_random_faults(simulation: FleetSimulation, steps: int, rng: Random) -> None:
-    """Faults and demand by chance: kills, restarts, stalls, cuts either way, loss, repeats, late messages."""
+    """Runs random faults and demand: kills, restarts, stalls, cuts, loss, duplicated or late datagrams."""
     nodes = simulation.nodes
     acquiring = nodes
     for _ in range(steps):
@@ -271,7 +274,7 @@
 
 
 def inject_fault(simulation: FleetSimulation, kind: float, node: SimulatedMember, rng: Random) -> bool:
-    """Injects the fault of a kind from 0 to 1. Returns whether there is one of that kind."""
+    """Injects the fault selected by `kind`, from 0 to 1. Returns whether a fault was injected."""
     nodes = simulation.nodes
     if kind < 0.04:
         simulation.kill(node)
@@ -302,7 +305,7 @@
 
 
 def use_budgets(simulation: FleetSimulation, acquiring: list[SimulatedMember], rng: Random) -> None:
-    """Lets some members take and give back units of all budgets for a while."""
+    """Acquires and releases units of all budgets at random for a while; only `acquiring` members acquire."""
     for _ in range(rng.choice([1, 4, 40])):
         simulation.run(rng.choice([0.01, 0.1, 0.3]))
         for budget in simulation.budgets:
@@ -313,7 +316,7 @@
 
 
 def inject_leadership_faults(simulation: FleetSimulation, rng: Random) -> None:
-    """What tempts two to lead at once, and a leader to lend again what is out, at times by chance."""
+    """Runs faults, at random times, that could cause two leaders, or units leased twice by a new leader."""
     for _ in range(6):
         simulation.links = LinkFaults()
         simulation.run(rng.uniform(6, 12))
@@ -343,17 +346,17 @@
     holder: SimulatedMember,
     rng: Random,
 ) -> None:
-    """One fault that puts a leader's term, or the units of a holder, in doubt."""
+    """Injects one fault that puts the leader's term or the units of a lease holder in doubt."""
     others = [node for node in simulation.nodes if node is not leader]
     kind = rng.choice(["bridge", "late", "restart", "stall", "all"])
-    if kind == "bridge":  # a majority on either side, by members that start anew
+    if kind == "bridge":  # a majority on either side, as restarted members have no record of their promises
         simulation.cut({leader.number}, {rival.number})
         simulation.run(rng.uniform(2, 6))
         for node in others:
             if node is not rival:
                 simulation.kill(node)
                 simulation.start(node)
-    elif kind == "late":  # old promises arrive when their granters follow another
+    elif kind == "late":  # old promises arrive after their granters have begun to follow another leader
         for node in others:
             simulation.links.extra_delay[node.number, leader.number] = rng.uniform(2, 3.9)
         simulation.run(rng.uniform(3, 6))
--- a/benchmarks/upgrade_between_versions.py
+++ b/benchmarks/upgrade_between_versions.py
@@ -1,8 +1,9 @@
-"""Upgrades a running proxy between this tree and another version's, in both directions, by real processes.
+"""Upgrades a running proxy between this source tree and another version, in both directions.
 
-A process of the one tree serves established sessions, with one server out of rotation and one in slow start.
-A process of the other tree takes over, and the first is told to leave. Every session has to go on, lines have
-to pass both ways, the server has to stay out of rotation, and the one in slow start has to keep its start.
+All processes are real. A process of one tree serves established sessions, with one server out of rotation and
+another in slow start. A process of the other tree takes over, and the first receives SIGTERM. Every session
+must continue and pass lines in both directions, the first server must stay out of rotation, and the second
+must keep its start time.
 Exits with 1 if anything was lost.
 
     PYTHONPATH=. python -m benchmarks.upgrade_between_versions CHECKOUT [--python PYTHON]
@@ -33,28 +34,28 @@
 from tests.waiting import TEST_TIMEOUT
 
 SESSIONS = 12
-NEW_SESSIONS = 24  # opened after the upgrade, each with another key
-SLOW_START_AGE = 2.0  # seconds since the start of the server in slow start, of a ramp of 20
+NEW_SESSIONS = 24  # sessions opened after the upgrade, each with its own key
+SLOW_START_AGE = 2.0  # seconds since the start of the server in slow start; its ramp lasts 20 seconds
 SERVERS = ("s0", "s1", "s2")
 DISABLED_SERVER = "s1"
 SLOW_START_SERVER = "s2"
 LIST_VERSION = 41
-HANDOFF_PHRASES = ("went along", "handed off")  # how log lines of 0b808a3 put it, and those of later releases
+HANDOFF_PHRASES = ("went along", "handed off")  # as logged by 0b808a3, and by later releases
 
 
 class UpgradeError(Exception):
-    """Something did not outlive the upgrade."""
+    """The upgrade failed, or lost a session or state."""
 
 
 @dataclass(frozen=True)
 class Tree:
-    """A checkout, and the interpreter that runs it."""
+    """A source tree and the interpreter that runs it."""
 
     path: Path
     python: str
 
     def environment(self) -> dict[str, str]:
-        """The environment of this process, without what would configure a proxy, for this tree."""
+        """Returns this process's environment for the tree, without variables that configure a proxy."""
         kept = {
             name: value
             for name, value in os.environ.items()
@@ -63,7 +64,7 @@
         return {**kept, "PYTHONPATH": str(self.path)}
 
     def require(self) -> None:
-        """Raises LostError unless the interpreter imports the package from this tree."""
+        """Raises UpgradeError unless the interpreter imports the package from this tree."""
         code = "import brambleplank; print(brambleplank.__file__)"
         found = subprocess.run(
             [self.python, "-B", "-c", code],
@@ -78,14 +79,14 @@
 
 
 class VersionedProgram(Program):
-    """A proxy whose successive processes run from successive trees."""
+    """A proxy whose successive processes run from the trees in order."""
 
     def __init__(self, trees: list[Tree], folder: Path, known: dict[str, Any], **changes: Any) -> None:
         self.trees = trees
         super().__init__(folder, known, **changes)
 
     def launch(self, folder: Path, patch: str) -> None:
-        """Starts the next process, as the platform does."""
+        """Starts the next process as the platform does, from the next tree."""
         tree = self.trees[len(self.successors)]
         environment = {**tree.environment(), "ROUTER_CONFIG": str(self.config_path), "TMPDIR": str(folder)}
         self.process = subprocess.Popen(
@@ -97,7 +98,7 @@
         )
 
     def send_command(self, path: str, method: str) -> int:
-        """The status that an operator's call is answered with."""
+        """Sends an operator command and returns the HTTP status of the answer."""
         host, port = self.config["mgmt"].rsplit(":", 1)
         give_up_at = time.monotonic() + TEST_TIMEOUT
         while True:
@@ -112,15 +113,16 @@
         return int(line.file.read().decode().split(" ")[1])
 
     def wait_until_ready(self) -> None:
-        """Returns once this process says that it is ready."""
+        """Waits until this process reports that it is ready."""
         give_up_at = time.monotonic() + TEST_TIMEOUT
         while self.send_command("/-/ready", "GET") != 200:
             require(time.monotonic() < give_up_at, "a process did not become ready")
 
     def stored_state(self, folder: Path) -> dict[str, Any]:
-        """What this process would hand to a next one: asked over its Unix socket, without taking over.
+        """Returns the state that this process would hand to the next one, without taking over.
 
-        The process logs that the next one is gone, and listens again.
+        The state is requested over the Unix socket for upgrades, which is then closed: the process logs that
+        the next one is gone, and accepts clients again.
         """
         path = folder / f"brambleplank-{self.address[0]}-{self.address[1]}.sock"
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as channel:
@@ -134,13 +136,13 @@
 
 
 def require(condition: bool, message: str) -> None:
-    """Raises LostError if it does not hold."""
+    """Raises UpgradeError with the message if the condition is false."""
     if not condition:
         raise UpgradeError(message)
 
 
 def server_list(servers: dict[str, StandInServer]) -> dict[str, Any]:
-    """The list of servers, of which one has started a moment ago."""
+    """Returns the endpoint list, in which one server has started recently."""
     found = endpoint_list(LIST_VERSION, True, **{name: server.address for name, server in servers.items()})
     for host in found["hosts"]:
         if host["host"] == SLOW_START_SERVER:
@@ -149,22 +151,22 @@
 
 
 def answer_watches(discovery: StandInDiscovery, known: dict[str, Any]) -> None:
-    """Tells each process that asks that there is nothing new, or the whole list."""
+    """Answers each watch: with the whole list, or with no changes if the process already has a version."""
     watches = []
     while True:
         first, watch = discovery.requests.get()
-        watches.append(watch)  # a watch ends when it is collected
+        watches.append(watch)  # kept, as garbage collection would close it
         text = json.dumps(known if "from=" not in first else endpoint_list(LIST_VERSION, False))
-        with suppress(OSError):  # the process has given it up
+        with suppress(OSError):  # the process has closed the watch
             watch.socket.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             StandInDiscovery.send_text(watch, text)
 
 
 @contextmanager
 def running_proxy(trees: list[Tree], folder: Path, known: dict[str, Any]) -> Iterator[VersionedProgram]:
-    """A proxy whose first process is up; all its processes are ended afterwards."""
+    """Runs a proxy with its first process, and kills all its processes at the end."""
     mgmt = ":".join(map(str, unused_address()))
-    # However busy the machine is, no answer is late and no server looks overloaded for it.
+    # Long times, so that on a busy machine no answer is late and no server looks overloaded.
     service_types = [
         {**PLATFORM_SETTINGS["service_types"][0], "setup_target_us": 10_000_000, "deadline_us": 30_000_000}
     ]
@@ -188,7 +190,7 @@
     server: LineConnection
 
     def check(self) -> None:
-        """Raises LostError unless a line passes in each direction."""
+        """Raises UpgradeError unless a line passes in each direction."""
         for sender, receiver, line in ((self.client, self.server, "M 1"), (self.server, self.client, "M 2")):
             sender.send_line(line)
             received = receiver.read_line()
@@ -196,14 +198,14 @@
 
 
 def open_sessions(program: VersionedProgram, servers: dict[str, StandInServer]) -> list[Session]:
-    """Sessions with the servers that are in rotation, each with a key of its own."""
+    """Opens sessions with the servers in rotation, each with its own key."""
     clients = {f"{key:x}": program.open_request(f"{key:x}", deadline_ms=30_000) for key in range(SESSIONS)}
     for client in clients.values():
         answer = client.read_line()
         require(answer.startswith("UP "), f"a session began with {answer!r}")
     ends: dict[str, LineConnection] = {}
     give_up_at = time.monotonic() + TEST_TIMEOUT
-    while len(ends) < SESSIONS:  # a server records a connection after its answer
+    while len(ends) < SESSIONS:  # a server records a connection only after it has answered
         require(time.monotonic() < give_up_at, f"servers saw {len(ends)} of {SESSIONS} sessions")
         for server in servers.values():
             while not server.openings.empty():
@@ -214,20 +216,21 @@
 
 
 def upgrade(trees: list[Tree]) -> str:
-    """Upgrades from the first tree to the second; what was kept, in a line. Raises LostError."""
+    """Upgrades from the first tree to the second. Returns a line on what was kept, or raises UpgradeError."""
     servers = {name: StandInServer(f"UP {name}") for name in SERVERS}
     known = server_list(servers)
     with tempfile.TemporaryDirectory() as name, running_proxy(trees, Path(name), known) as old:
         folder = Path(name)
         old.wait_until_ready()
         require(
-            old.send_command(f"/-/servers/{DISABLED_SERVER}/disable", "PUT") == 200, "the call was refused"
+            old.send_command(f"/-/servers/{DISABLED_SERVER}/disable", "PUT") == 200,
+            "the disable command was refused",
         )
         sessions = open_sessions(old, servers)
         for session in sessions:
             session.check()
         before = old.stored_state(folder)
-        new = cast(VersionedProgram, old.upgrade())  # a copy of the first
+        new = cast(VersionedProgram, old.upgrade())  # a copy of the program, with the next process
         new.wait_until_ready()
         old.process.send_signal(signal.SIGTERM)
         log = old.remaining_log()
@@ -243,13 +246,13 @@
             session.check()
         log = new.stop()
         require("upgrade: taken over\n" in log, f"the state was not taken over: {log}")
-        require("fault" not in log and "Traceback" not in log, f"a fault: {log}")
-    kept = f"{DISABLED_SERVER} stayed out of rotation, {SLOW_START_SERVER} kept its start"
+        require("fault" not in log and "Traceback" not in log, f"the log holds a fault: {log}")
+    kept = f"{DISABLED_SERVER} stayed out of rotation, {SLOW_START_SERVER} kept its start time"
     return f"{SESSIONS} sessions kept, {kept}"
 
 
 def check_state(before: dict[str, Any], after: dict[str, Any]) -> None:
-    """Raises LostError unless the second process has the rotation and the start that the first had."""
+    """Raises UpgradeError unless rotation and start times are the same in both processes."""
     require(list(before["out"]) == [DISABLED_SERVER], f"out of rotation at the first: {before['out']}")
     for key in ("clock", "out", "starts", "started", "list"):
         require(before[key] == after[key], f"{key}: {before[key]} became {after[key]}")
@@ -262,7 +265,7 @@
 
 
 def check_rotation(program: VersionedProgram, servers: dict[str, StandInServer]) -> None:
-    """Raises LostError if a new session comes to the server that is out of rotation, or none is possible."""
+    """Raises UpgradeError if new sessions fail, or reach the server that is out of rotation."""
     before = servers[DISABLED_SERVER].opening_count
     for key in range(NEW_SESSIONS):
         answer = program.open_request(f"{key:x}", deadline_ms=30_000).read_line()
@@ -272,8 +275,8 @@
 
 
 def main() -> int:
-    """Runs both directions, and prints a line for each."""
-    parser = argparse.ArgumentParser(description="upgrade by real processes between two versions")
+    """Runs the upgrade in both directions and prints a line for each."""
+    parser = argparse.ArgumentParser(description="upgrade between two versions with real processes")
     parser.add_argument("checkout", type=Path, help="a checkout of the other version")
     parser.add_argument("--python", default=sys.executable, help="the interpreter for the other version")
     arguments = parser.parse_args()
