--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -67,7 +67,7 @@
         self.port, self.count = port, count
         self.servers = [StandIn(f"s{n}") for n in range(4)]
         self.times = HdrHistogram(1, 10_000_000, 3)
-        self.late = 0
+        self.late_drains = 0
         self.rng = random.Random(1)
 
     async def open_flows(self) -> None:
@@ -88,7 +88,7 @@
             await asyncio.sleep(SETTLING_TIME + self.rng.uniform(0, 0.1))
             last = server.openings[-1].at - at if server.openings else 0.0
             self.times.record_value(max(1, round(last * 1e6)))
-            self.late += last > FILE.drain.window
+            self.late_drains += last > FILE.drain.window
             change(server.name, False)
             await asyncio.sleep(0.15)
         opener.cancel()
@@ -279,7 +279,7 @@
                 each.times.get_max_value(),
             )
         )
-        print(f"| {source_name} | {each.count} | {times} | {each.late} |")
+        print(f"| {source_name} | {each.count} | {times} | {each.late_drains} |")
     print("\n| servers | decoding an answer, ms | evaluating health, ms | list and ring, ms |")
     print("| --- | --- | --- | --- |")
     for servers in (100, 1000, 5000):
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -42,16 +42,16 @@
 
     transport: Any
 
-    def __init__(self, flow: int, lines: int, latencies: tuple[HdrHistogram, HdrHistogram]) -> None:
-        self.flow, self.lines, self.latencies = flow, lines, latencies
+    def __init__(self, flow_id: int, lines: int, latencies: tuple[HdrHistogram, HdrHistogram]) -> None:
+        self.flow_id, self.lines, self.latencies = flow_id, lines, latencies
         self.established: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.finished: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.started_at = time.perf_counter()
-        self.sent = 0.0
+        self.sent_at = 0.0
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        transport.write(b"OPEN %x %x c=views,d=1800\r\n" % (self.flow, self.flow * 7919 % 2**32))
+        transport.write(b"OPEN %x %x c=views,d=1800\r\n" % (self.flow_id, self.flow_id * 7919 % 2**32))
 
     def data_received(self, data: bytes) -> None:
         now = time.perf_counter()
@@ -62,10 +62,10 @@
             self.latencies[0].record_value(round((now - self.started_at) * 1e6))
             self.established.set_result(None)
         else:
-            self.latencies[1].record_value(round((now - self.sent) * 1e6))
+            self.latencies[1].record_value(round((now - self.sent_at) * 1e6))
         if self.lines:
             self.lines -= 1
-            self.sent = time.perf_counter()
+            self.sent_at = time.perf_counter()
             self.transport.write(b"M 1 0123456789abcdef0123456789abcdef\r\n")
         elif not self.finished.done():
             self.finished.set_result(None)
@@ -92,7 +92,7 @@
             return 0
         return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * resource.getpagesize()
 
-    async def client(self, lines: int = 0) -> Client:
+    async def connect(self, lines: int = 0) -> Client:
         loop, number = asyncio.get_running_loop(), next(FLOW_IDS)
         _, client = await loop.create_connection(
             lambda: Client(number, lines, self.latencies), "127.0.0.1", self.port
@@ -102,7 +102,7 @@
 
     async def open_flows(self, total: int) -> None:
         for _ in range(total):
-            (await self.client()).transport.close()
+            (await self.connect()).transport.close()
 
     async def measure_flows(self) -> None:
         before = self.cpu()
@@ -111,12 +111,12 @@
         self.per_flow.append((self.cpu() - before) / FLOWS)
 
     async def measure_lines(self) -> None:
-        clients = [await self.client() for _ in range(SESSIONS)]
+        clients = [await self.connect() for _ in range(SESSIONS)]
         before = self.cpu()
         for client in clients:
             client.finished = asyncio.get_running_loop().create_future()
             client.lines = LINES_PER_SESSION - 1
-            client.sent = time.perf_counter()
+            client.sent_at = time.perf_counter()
             client.transport.write(b"M 1 0123456789abcdef0123456789abcdef\r\n")
         await asyncio.wait_for(asyncio.gather(*(client.finished for client in clients)), 60)
         self.per_line.append((self.cpu() - before) / (SESSIONS * LINES_PER_SESSION))
@@ -127,7 +127,7 @@
         before = self.memory()
         clients = []
         for _ in range(IDLE_CONNECTIONS):
-            clients.append(await self.client())
+            clients.append(await self.connect())
         await asyncio.sleep(0.5)
         self.per_connection = (self.memory() - before) / IDLE_CONNECTIONS
         for client in clients:
@@ -164,7 +164,7 @@
     target = Target("", port)
     while time.perf_counter() < started_at + 20:
         try:
-            (await target.client()).transport.close()
+            (await target.connect()).transport.close()
             return time.perf_counter() - started_at
         except (OSError, RuntimeError):
             await asyncio.sleep(0.002)
