--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -35,8 +35,8 @@
     QueryMetadata,
 )
 from brambleplank.emulator.clients import Client, RequestRecord
-from brambleplank.emulator.consul import Member, StandInConsul
-from brambleplank.emulator.servers import StandIn
+from brambleplank.emulator.consul import ServiceInstance, StandInConsul
+from brambleplank.emulator.servers import StandInServer
 from brambleplank.model import EndpointStatus
 from brambleplank.settings import decode_settings
 from brambleplank.sidecar import writer
@@ -64,7 +64,7 @@
 
     def __init__(self, port: int, count: int) -> None:
         self.port, self.count = port, count
-        self.servers = [StandIn(f"s{n}") for n in range(4)]
+        self.servers = [StandInServer(f"s{n}") for n in range(4)]
         self.times = HdrHistogram(1, 10_000_000, 3)
         self.late = 0
         self.rng = random.Random(1)
@@ -85,7 +85,7 @@
             at = time.time()
             change(server.name, True)
             await asyncio.sleep(SETTLED + self.rng.uniform(0, 0.1))
-            last = server.openings[-1].at - at if server.openings else 0.0
+            last = server.open_records[-1].at - at if server.open_records else 0.0
             self.times.record_value(max(1, round(last * 1e6)))
             self.late += last > FILE.drain.window
             change(server.name, False)
@@ -105,7 +105,7 @@
             agent = StandInConsul()
             await agent.listen()
             for server in drains.servers:
-                agent.change("feeds", Member(server.name, server.address))
+                agent.update_service("feeds", ServiceInstance(server.name, server.address))
             assert FILE.consul
             FILE.consul.agents = [agent.address]
             (folder / "b.toml").write_text(writer.text(FILE))
@@ -113,7 +113,7 @@
 
             def change(name: str, drain: bool, agent: StandInConsul = agent) -> None:
                 agent.services["feeds"][name].maintenance = drain
-                agent.touch("feeds")
+                agent.mark_changed("feeds")
         else:
             discovery = StandInDiscovery({server.name: server.address for server in drains.servers})
             await discovery.listen()
@@ -166,14 +166,16 @@
 
 def cpu_a_change(count: int, rounds: int = 60) -> tuple[float, float, float]:
     """Milliseconds of CPU that one changed server costs among so many: decoding, weighing, the ring."""
-    members = [Member(f"x{n}", f"127.0.{n // 250}.{n % 250 + 1}:7501", "abc"[n % 3]) for n in range(count)]
+    members = [
+        ServiceInstance(f"x{n}", f"127.0.{n // 250}.{n % 250 + 1}:7501", "abc"[n % 3]) for n in range(count)
+    ]
     nobody: Any = Nobody()
     balancer = Balancer(nobody, decode_settings(platform_settings(FILE), sockets=True), 1)
     catalog, reader = Catalog(HealthSettings()), answers.AnswerDecoder(answers.MetadataKeys())
     spent = [0.0, 0.0, 0.0]
     for turn in range(rounds + 1):
         members[turn % count].maintenance = turn % 2 == 1
-        body = json.dumps([member.item() for member in members]).encode()
+        body = json.dumps([member.health_entry() for member in members]).encode()
         marks = [time.process_time()]
         found, _ = reader.decode(body)
         marks.append(time.process_time())
--- a/benchmarks/standin.py
+++ b/benchmarks/standin.py
@@ -5,12 +5,12 @@
 import asyncio
 import sys
 
-from brambleplank.emulator.servers import StandIn
+from brambleplank.emulator.servers import StandInServer
 
 
 async def main() -> None:
     """Serves until standard input ends."""
-    server = StandIn("feed1")
+    server = StandInServer("feed1")
     await server.listen()
     print(server.port, flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
--- a/brambleplank/emulator/consul.py
+++ b/brambleplank/emulator/consul.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Member:
+class ServiceInstance:
     """One server as the catalogue has it."""
 
     id: str
@@ -31,7 +31,7 @@
     meta: dict[str, str] = field(default_factory=dict)
     weights: dict[str, int] | None = None
 
-    def item(self) -> dict[str, Any]:
+    def health_entry(self) -> dict[str, Any]:
         """Returns it as a health query answers."""
         host, _, port = self.address.rpartition(":")
         checks = [
@@ -51,7 +51,7 @@
     """One agent; its catalogue may be shared with others, which may lag behind it."""
 
     def __init__(self) -> None:
-        self.services: dict[str, dict[str, Member]] = {}
+        self.services: dict[str, dict[str, ServiceInstance]] = {}
         self.index = 1
         self.changed_at: dict[str, int] = {}
         self.leader = True
@@ -60,7 +60,7 @@
         self.statuses: list[int] = []  # what the next answers are instead
         self.torn = 0  # so many next answers end in the middle
         self.slow = 0.0  # seconds before each answer
-        self.answers = 0
+        self.answer_count = 0
         self.port = 0
         self.listener: asyncio.Server | None = None
         self.open: set[asyncio.StreamWriter] = set()
@@ -98,15 +98,15 @@
             task.cancel()
         await asyncio.gather(*serving, return_exceptions=True)
 
-    def change(self, service: str, member: Member | None = None, drop: str = "") -> None:
+    def update_service(self, service: str, instance: ServiceInstance | None = None, drop: str = "") -> None:
         """A member is put in, or dropped; whoever waits on the service is answered."""
-        members = self.services.setdefault(service, {})
-        if member:
-            members[member.id] = member
-        members.pop(drop, None)
-        self.touch(service)
+        instances = self.services.setdefault(service, {})
+        if instance:
+            instances[instance.id] = instance
+        instances.pop(drop, None)
+        self.mark_changed(service)
 
-    def touch(self, service: str) -> None:
+    def mark_changed(self, service: str) -> None:
         """Notes a change of a service; whoever waits on it is answered."""
         self.index += 1
         self.changed_at[service] = self.index
@@ -114,7 +114,7 @@
         self.turned = asyncio.Event()
         turned.set()
 
-    def go_back(self, index: int) -> None:
+    def reset_index(self, index: int) -> None:
         """As a restored or restarted one does: it counts from a lower index."""
         self.index = index
         self.changed_at = dict.fromkeys(self.services, index)
@@ -176,7 +176,7 @@
 
     async def send(self, status: int, service: str, writer: asyncio.StreamWriter) -> None:
         """Sends the answer, or half of it."""
-        items = [member.item() for member in self.services.get(service, {}).values()]
+        items = [instance.health_entry() for instance in self.services.get(service, {}).values()]
         body = json.dumps(items).encode() if status == 200 else b"no\n"
         head = (
             f"HTTP/1.1 {status} -\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n"
@@ -184,7 +184,7 @@
             f"X-Consul-KnownLeader: {'true' if self.leader else 'false'}\r\n"
             f"X-Consul-LastContact: {self.contact_ms}\r\n\r\n"
         )
-        self.answers += 1
+        self.answer_count += 1
         writer.write(head.encode())
         if self.torn and status == 200:
             self.torn -= 1
@@ -224,13 +224,13 @@
     """One thing done at one time."""
 
     at: float
-    do: str
+    action: str
     service: str = ""
     server: str = ""
     more: dict[str, Any] = field(default_factory=dict)
 
 
-def script(text: str) -> list[Step]:
+def parse_script(text: str) -> list[Step]:
     """The steps of a TOML file of [[step]] tables, in their order. Raises ValueError, naming the step."""
     steps = []
     for n, each in enumerate(tomllib.loads(text).get("step", []), 1):
@@ -242,31 +242,31 @@
     return sorted(steps, key=lambda step: step.at)
 
 
-async def play(agent: StandInConsul, steps: list[Step]) -> None:
+async def run_script(agent: StandInConsul, steps: list[Step]) -> None:
     """Plays a script from now on."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     for step in steps:
         await asyncio.sleep(max(0.0, began + step.at - loop.time()))
-        await do(agent, step)
+        await apply_step(agent, step)
 
 
-async def do(agent: StandInConsul, step: Step) -> None:
+async def apply_step(agent: StandInConsul, step: Step) -> None:
     """Does one step to an agent."""
-    member = agent.services.get(step.service, {}).get(step.server)
-    if step.do == "register":
-        agent.change(step.service, Member(step.server, **step.more))
-    elif step.do == "deregister":
-        agent.change(step.service, drop=step.server)
-    elif member and step.do in (*STATUSES, *MAINTENANCE):
-        if step.do in STATUSES:
-            member.status = step.do
+    instance = agent.services.get(step.service, {}).get(step.server)
+    if step.action == "register":
+        agent.update_service(step.service, ServiceInstance(step.server, **step.more))
+    elif step.action == "deregister":
+        agent.update_service(step.service, drop=step.server)
+    elif instance and step.action in (*STATUSES, *MAINTENANCE):
+        if step.action in STATUSES:
+            instance.status = step.action
         else:
-            member.maintenance = step.do == "maintain"
-        agent.touch(step.service)
-    elif step.do == "stop":
+            instance.maintenance = step.action == "maintain"
+        agent.mark_changed(step.service)
+    elif step.action == "stop":
         agent.stop()
-    elif step.do == "start":
+    elif step.action == "start":
         await agent.listen()
     else:
         disturb(agent, step)
@@ -274,13 +274,13 @@
 
 def disturb(agent: StandInConsul, step: Step) -> None:
     """Changes how an agent answers."""
-    if step.do == "go_back":
-        agent.go_back(int(step.more.get("index", 1)))
-    elif step.do in ("leader", "no_leader"):
-        agent.leader = step.do == "leader"
-    elif step.do == "statuses":
+    if step.action == "go_back":
+        agent.reset_index(int(step.more.get("index", 1)))
+    elif step.action in ("leader", "no_leader"):
+        agent.leader = step.action == "leader"
+    elif step.action == "statuses":
         agent.statuses = list(step.more.get("list", [500]))
-    elif step.do == "torn":
+    elif step.action == "torn":
         agent.torn = int(step.more.get("count", 1))
-    elif step.do == "slow":
+    elif step.action == "slow":
         agent.slow = parse_seconds(str(step.more.get("by", "0s"))) or 0.0
--- a/brambleplank/emulator/servers.py
+++ b/brambleplank/emulator/servers.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Opening:
+class OpenRecord:
     """One OPEN as a server had it."""
 
     at: float  # Unix time, seconds
@@ -25,22 +25,22 @@
     server: str
 
 
-class StandIn:
+class StandInServer:
     """One server: it listens, answers and remembers."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.answer = b"UP"  # the word it answers an OPEN with; b"" for silence
         self.delay = 0.0  # seconds it takes for that
-        self.openings: list[Opening] = []
-        self.connections: set[Conversation] = set()
+        self.open_records: list[OpenRecord] = []
+        self.connections: set[ServerConnection] = set()
         self.listener: asyncio.Server | None = None
         self.port = 0
 
     async def listen(self) -> None:
         """Listens, after the first time at the same port."""
         loop = asyncio.get_running_loop()
-        self.listener = await loop.create_server(lambda: Conversation(self), "127.0.0.1", self.port)
+        self.listener = await loop.create_server(lambda: ServerConnection(self), "127.0.0.1", self.port)
         self.port = self.listener.sockets[0].getsockname()[1]
 
     @property
@@ -65,12 +65,12 @@
             each.transport.close()
 
 
-class Conversation(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """One connection to a stand-in."""
 
     transport: Any
 
-    def __init__(self, server: StandIn) -> None:
+    def __init__(self, server: StandInServer) -> None:
         self.server = server
         self.unread = b""
         self.is_established = False
@@ -101,7 +101,9 @@
         elif match := OPEN_LINE.fullmatch(line):
             fields = dict(part.split(b"=", 1) for part in match[3].split(b",") if b"=" in part)
             kind = fields.get(b"c", b"").decode(errors="replace")
-            self.server.openings.append(Opening(time.time(), match[1].decode(), kind, self.server.name))
+            self.server.open_records.append(
+                OpenRecord(time.time(), match[1].decode(), kind, self.server.name)
+            )
             if self.server.answer:
                 asyncio.get_running_loop().call_later(self.server.delay, self.answer)
         else:
@@ -113,7 +115,7 @@
         if self.transport.is_closing():
             return
         word = self.server.answer
-        self.send_line(b"UP r%d" % len(self.server.openings) if word == b"UP" else word)
+        self.send_line(b"UP r%d" % len(self.server.open_records) if word == b"UP" else word)
         self.is_established = word == b"UP"
         if not self.is_established:
             self.transport.close()
--- a/brambleplank/emulator/trial.py
+++ b/brambleplank/emulator/trial.py
@@ -18,7 +18,7 @@
 
 from brambleplank.discovery.file.server_file import Server
 from brambleplank.emulator.clients import Client, RequestRecord
-from brambleplank.emulator.servers import StandIn
+from brambleplank.emulator.servers import StandInServer
 from brambleplank.sidecar import writer
 from brambleplank.sidecar.shapes import Connects, File, Limits, Listen, ServiceType
 from brambleplank.sidecar.shapes import Servers as ServersFile
@@ -48,7 +48,7 @@
         self.rate = rate
         self.write_line = write_line
         self.rng = random.Random(1)
-        self.servers = [StandIn(f"feed{n}") for n in range(1, 5)]
+        self.servers = [StandInServer(f"feed{n}") for n in range(1, 5)]
         self.states = {server.name: "ready" for server in self.servers}
         self.records: list[RequestRecord] = []
         self.tasks: set[asyncio.Task[None]] = set()
@@ -197,7 +197,7 @@
             )
         self.write_line("")
         for server in self.servers:
-            self.write_line(f"{server.name}  {len(server.openings):5} flows  {self.states[server.name]}")
+            self.write_line(f"{server.name}  {len(server.open_records):5} flows  {self.states[server.name]}")
         faults = self.broken_rules(code)
         self.write_line("\nRules: " + ("all kept" if not faults else "; ".join(faults)))
         self.write_line("Next: brambleplank new, then check, explain and run; docs/sidecar.md")
@@ -213,7 +213,7 @@
                 found.append(f"flow {record.id} had {len(record.answers)} final answers")
             elif record.answer_delay > PATIENCE + LATE:
                 found.append(f"flow {record.id} was answered after {record.answer_delay:.2f} s")
-        had = Counter(opening.flow for server in self.servers for opening in server.openings)
+        had = Counter(opening.flow for server in self.servers for opening in server.open_records)
         once = {record.id for record in self.records if record.service_type == "warnings"}
         found += [
             f"once-only flow {flow} reached {times} servers"
@@ -221,7 +221,7 @@
             if times > 1 and flow in once
         ]
         if self.drained_at:
-            after = [opening.at - self.drained_at for opening in self.servers[0].openings]
+            after = [opening.at - self.drained_at for opening in self.servers[0].open_records]
             last = max(after, default=0.0)
             when = f"{last:.2f} s after" if last > 0 else "before"
             self.write_line(
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from brambleplank.cli import main
-from brambleplank.emulator.consul import Member, StandInConsul, Step, do
+from brambleplank.emulator.consul import ServiceInstance, StandInConsul, Step, apply_step
 from brambleplank.sidecar.shapes import Consul, File
 from brambleplank.tables import Seconds
 from tests.programs import Program, Sidecar
@@ -42,7 +42,7 @@
         asyncio.run_coroutine_threadsafe(doing, self.loop).result(TEST_TIMEOUT)
 
     def do(self, agent: StandInConsul, what: str, server: str = "", **more: Any) -> float:
-        self.run(do(agent, Step(0.0, what, "feeds", server, more)))
+        self.run(apply_step(agent, Step(0.0, what, "feeds", server, more)))
         return time.monotonic()
 
     def close(self) -> None:
@@ -175,7 +175,7 @@
     servers = [StandInServer("UP 0"), StandInServer("UP 1")]
     second.services = first.services
     fleet(agents, first, *servers)
-    second.go_back(first.index)
+    second.reset_index(first.index)
     first.token = second.token = "old"
     (tmp_path / "token").write_text("old\n")
     program = beside(asked(first, second, token_file=str(tmp_path / "token")))
@@ -208,24 +208,25 @@
 def test_many_changes_are_applied_in_ticks(agents: Agents, beside: Callable[[Consul], Beside]) -> None:
     agent, real = agents.new(), StandInServer()
     members = {
-        f"x{n}": Member(f"x{n}", f"127.0.{n // 250}.{n % 250 + 2}:9", maintenance=True) for n in range(2000)
+        f"x{n}": ServiceInstance(f"x{n}", f"127.0.{n // 250}.{n % 250 + 2}:9", maintenance=True)
+        for n in range(2000)
     }
-    members["s0"] = Member("s0", real.address)
+    members["s0"] = ServiceInstance("s0", real.address)
     agent.services["feeds"] = members
-    agent.touch("feeds")
+    agent.mark_changed("feeds")
     program = beside(asked(agent))
     assert program.open_request().read_line() == "UP r1"
 
     async def change() -> None:
         for n in range(600):
             members[f"x{n}"].meta["size"] = "2"
-            agent.touch("feeds")
+            agent.mark_changed("feeds")
             await asyncio.sleep(0.005)
 
-    began, before, answered = time.monotonic(), cpu(program), agent.answers
+    began, before, answered = time.monotonic(), cpu(program), agent.answer_count
     agents.run(change())
     took = time.monotonic() - began
-    lists = agent.answers - answered
+    lists = agent.answer_count - answered
     assert lists <= took / 0.1 + 2
     assert cpu(program) - before < took  # a core is not full of it
     assert words(program, 5) == ["UP r1"] * 5
@@ -245,11 +246,11 @@
     assert program.open_request().read_line() == "UP r1"
     agents.do(agent, "no_leader")
     agents.do(agent, "passing", "s0")  # whoever waits is answered
-    before, until = agent.answers, time.monotonic() + 3.0
+    before, until = agent.answer_count, time.monotonic() + 3.0
     while time.monotonic() < until:
         words(program, 1)
         time.sleep(0.05)
-    assert agent.answers - before <= 6
+    assert agent.answer_count - before <= 6
     assert program.open_request().read_line() == "UP r1"
 
 
--- a/tests/test_consul_health.py
+++ b/tests/test_consul_health.py
@@ -19,7 +19,7 @@
     QueryMetadata,
 )
 from brambleplank.discovery.consul.source import MAX_PAUSE, ServiceWatch
-from brambleplank.emulator.consul import Member
+from brambleplank.emulator.consul import ServiceInstance
 from brambleplank.model import EndpointStatus
 
 READY = EndpointStatus.READY
@@ -264,8 +264,8 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.integers(0, 400), st.binary(max_size=8))
 def test_damaged_answer_is_garbled_or_decoded(at: int, put: bytes) -> None:
-    members = [Member(f"s{n}", f"127.0.0.1:{7000 + n}", "a", "warning", n == 1) for n in range(2)]
-    body = json.dumps([member.item() for member in members]).encode()
+    members = [ServiceInstance(f"s{n}", f"127.0.0.1:{7000 + n}", "a", "warning", n == 1) for n in range(2)]
+    body = json.dumps([member.health_entry() for member in members]).encode()
     found, unused = answers.AnswerDecoder(answers.MetadataKeys()).decode(body)
     assert [each.status for each in found] == [HealthStatus.WARNING, MAINTAINED] and not unused
     try:
--- a/tests/test_consul_stand_in.py
+++ b/tests/test_consul_stand_in.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from brambleplank.emulator.consul import StandInConsul, Step, play, script
+from brambleplank.emulator.consul import StandInConsul, Step, parse_script, run_script
 
 
 def test_script_is_played_in_order() -> None:
     async def morning() -> StandInConsul:
         agent = StandInConsul()
         steps = [("0.02s", "critical", "s0"), ("0s", "register", "s0"), ("0.03s", "maintain", "s0")]
-        await play(
+        await run_script(
             agent,
-            script(
+            parse_script(
                 "".join(
                     f'[[step]]\nat = "{at}"\ndo = "{what}"\nservice = "feeds"\nserver = "{server}"\n'
                     + ('address = "127.0.0.1:7000"\n' if what == "register" else "")
@@ -27,15 +27,15 @@
         return agent
 
     agent = asyncio.run(morning())
-    member = agent.services["feeds"]["s0"]
-    assert (member.status, member.maintenance, agent.index) == ("critical", True, 4)
+    instance = agent.services["feeds"]["s0"]
+    assert (instance.status, instance.maintenance, agent.index) == ("critical", True, 4)
 
 
 def test_script_error_names_its_step() -> None:
-    steps = script('[[step]]\nat = "1s"\ndo = "critical"\nservice = "feeds"\nserver = "s0"\n')
+    steps = parse_script('[[step]]\nat = "1s"\ndo = "critical"\nservice = "feeds"\nserver = "s0"\n')
     assert steps == [Step(1.0, "critical", "feeds", "s0")]
     with pytest.raises(ValueError, match=r"step\[2\]"):
-        script('[[step]]\nat = "1s"\ndo = "stop"\n[[step]]\nat = "soon"\ndo = "stop"\n')
+        parse_script('[[step]]\nat = "1s"\ndo = "stop"\n[[step]]\nat = "soon"\ndo = "stop"\n')
 
 
 def test_closed_agent_leaves_no_waiting_task() -> None:
