--- a/brambleplank/wirehost/pipe.py
+++ b/brambleplank/wirehost/pipe.py
@@ -27,13 +27,13 @@
 )
 ENDPOINT_FIELDS: FieldTypes = (str, str, object, int, str, OPTIONAL_NUMBER, OPTIONAL_NUMBER)
 MAX_TRACEBACK_DEPTH = 4  # innermost calls
-MALFORMED_INPUT = 2  # exit code
+MALFORMED_INPUT_EXIT_CODE = 2  # exit code
 
 
 class EventHandler(NamedTuple):
     """The method for an event, and the types of the fields that follow the proxy's name."""
 
-    call: Callable[..., None]
+    method: Callable[..., None]
     field_types: FieldTypes
 
 
@@ -49,17 +49,17 @@
     "ELAPSED": EventHandler(SimulatedProxy.timer_expired, (int,)),
     "PEER": EventHandler(SimulatedProxy.peer_message_received, (int, str)),
 }
-LIST_GIVEN = "TABLE"
+LIST_DEFINED = "TABLE"
 PROXY_STARTED = "ENLIST"
 PROXY_STOPPED = "DETACH"
-LIST_RECEIVED = "ROSTER_CHANGE"
+LIST_UPDATED = "ROSTER_CHANGE"
 PROBE_ANSWERED = "PROBE_RESULT"  # ignored, as no probe is ever sent
-PROXY_EVENTS = frozenset((*HANDLERS, PROXY_STOPPED, LIST_RECEIVED, PROBE_ANSWERED))
+PROXY_EVENTS = frozenset((*HANDLERS, PROXY_STOPPED, LIST_UPDATED, PROBE_ANSWERED))
 
 encode_reply = json.JSONEncoder(separators=(",", ":")).encode
 
 
-class Pipe:
+class Adapter:
     """The simulated proxies of one process, and the numbered lists that they share."""
 
     def __init__(self) -> None:
@@ -67,7 +67,7 @@
         self.lists: dict[int, list[list[Any]]] = {}
         self.actions: list[list[Any]] = []  # of the batch at hand
 
-    def batch(self, line: str) -> str:
+    def handle_batch(self, line: str) -> str:
         """Handles a batch of events. Returns the reply; raises MalformedError."""
         try:
             message = json.loads(line)
@@ -82,18 +82,18 @@
         for event in message["news"]:
             if not isinstance(event, list) or not event or not isinstance(event[0], str):
                 raise MalformedError(f"an event is an array that begins with its name, not {event!r:.80}")
-            self.event(now, event[0], event[1:])
+            self.handle_event(now, event[0], event[1:])
         return encode_reply({"out": self.actions})
 
-    def event(self, now: float, name: str, fields: list[Any]) -> None:
+    def handle_event(self, now: float, name: str, fields: list[Any]) -> None:
         """Handles one event."""
         proxy_name = fields[0] if fields and isinstance(fields[0], str) else ""
         proxy = self.proxies.get(proxy_name)
         handler = HANDLERS.get(name)
         if handler and proxy:
             check_fields(name, fields[1:], handler.field_types)
-            self.run(proxy, handler.call, now, *fields[1 : 1 + len(handler.field_types)])
-        elif name == LIST_GIVEN:
+            self.call_proxy(proxy, handler.method, now, *fields[1 : 1 + len(handler.field_types)])
+        elif name == LIST_DEFINED:
             check_fields(name, fields, (int, list))
             for entry in fields[1]:
                 check_fields("a list entry", entry, ENDPOINT_FIELDS)
@@ -107,44 +107,46 @@
             check_fields(name, fields, (str,))
             if proxy is None:
                 raise MalformedError(f"{name} for an unknown instance {proxy_name!r:.40}")
-            self.proxy_event(now, proxy, name, fields)
+            self.handle_proxy_event(now, proxy, name, fields)
 
-    def proxy_event(self, now: float, proxy: SimulatedProxy, name: str, fields: list[Any]) -> None:
+    def handle_proxy_event(self, now: float, proxy: SimulatedProxy, name: str, fields: list[Any]) -> None:
         """Handles an event of a proxy that the proxy does not handle by itself."""
         if name == PROXY_STOPPED:
             del self.proxies[proxy.name]
-        elif name == LIST_RECEIVED:
+        elif name == LIST_UPDATED:
             check_fields(name, fields, (str, str))
-            self.run(proxy, SimulatedProxy.endpoints_received, now, fields[1], self.entries(fields))
+            self.call_proxy(
+                proxy, SimulatedProxy.endpoints_received, now, fields[1], self.list_entries(fields)
+            )
 
-    def entries(self, fields: list[Any]) -> list[list[Any]]:
+    def list_entries(self, fields: list[Any]) -> list[list[Any]]:
         """Returns the entries of the list that a proxy receives."""
         if fields[1] == LIST_FAILED:
             return []
-        check_fields(LIST_RECEIVED, fields, (str, str, OPTIONAL_INT, int))
+        check_fields(LIST_UPDATED, fields, (str, str, OPTIONAL_INT, int))
         if fields[3] not in self.lists:
-            raise MalformedError(f"{LIST_RECEIVED} names list {fields[3]!r:.40}, which no {LIST_GIVEN} gave")
+            raise MalformedError(f"{LIST_UPDATED} names list {fields[3]!r:.40}, which no {LIST_DEFINED} gave")
         return self.lists[fields[3]]
 
-    def start_proxy(self, name: str, seed: int, info: Any) -> None:
+    def start_proxy(self, name: str, seed: int, settings: Any) -> None:
         """Starts a proxy, in place of one of the same name."""
         try:
-            self.proxies[name] = SimulatedProxy(name, seed, info, self.actions)
+            self.proxies[name] = SimulatedProxy(name, seed, settings, self.actions)
         except (KeyError, TypeError) as error:
             raise MalformedError(
                 f"{PROXY_STARTED} for {name}: start-up settings lack or garble {error}"
             ) from None
 
-    def run(self, proxy: SimulatedProxy, call: Callable[..., None], *fields: Any) -> None:
+    def call_proxy(self, proxy: SimulatedProxy, method: Callable[..., None], *fields: Any) -> None:
         """Calls the proxy. An exception is reported to the simulator, which ends the run and says why."""
         try:
-            call(proxy, *fields)
+            method(proxy, *fields)
             proxy.finish_event()
         except MalformedError:
             raise
         except Exception:
-            trace = traceback.format_exc(limit=-MAX_TRACEBACK_DEPTH)
-            self.actions.append([Action.REPORT_EXCEPTION.value, proxy.name, trace])
+            traceback_text = traceback.format_exc(limit=-MAX_TRACEBACK_DEPTH)
+            self.actions.append([Action.REPORT_EXCEPTION.value, proxy.name, traceback_text])
 
 
 def check_fields(name: str, fields: Any, types: FieldTypes) -> None:
@@ -160,15 +162,15 @@
 
 def serve(lines: TextIO, replies: TextIO, errors: TextIO) -> int:
     """Answers each line of input. Returns the exit code."""
-    pipe = Pipe()
+    adapter = Adapter()
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
         try:
-            reply = pipe.batch(line)
+            reply = adapter.handle_batch(line)
         except MalformedError as error:
             errors.write(f"brambleplank: line {number}: {error}\n")
-            return MALFORMED_INPUT
+            return MALFORMED_INPUT_EXIT_CODE
         replies.write(reply + "\n")
         replies.flush()
     return 0
--- a/brambleplank/wirehost/simulated_proxy.py
+++ b/brambleplank/wirehost/simulated_proxy.py
@@ -12,12 +12,12 @@
 from brambleplank.server_tags import ServerTags
 from brambleplank.settings import MICRO, decode_settings, decode_word
 from brambleplank.wirehost.wire import (
+    ALL_PEERS,
     LIST_FAILED,
     LIST_KINDS,
     MAX_PEER_MESSAGE_SIZE,
     MESSAGE_TIME_CHANGE,
     OUTCOMES,
-    TO_ALL,
     Action,
     RequestEvent,
     RequestOption,
@@ -31,19 +31,19 @@
 class SimulatedProxy:
     """Carries the calls of one balancer; its `Host`."""
 
-    def __init__(self, name: str, seed: int, info: dict[str, Any], actions: list[list[Any]]) -> None:
+    def __init__(self, name: str, seed: int, settings: dict[str, Any], actions: list[list[Any]]) -> None:
         self.name = name
         self.actions = actions
         self.requests: dict[str, Request] = {}
         self.timers = Timers()
-        self.after_event: list[Callable[[], None]] = []  # what the event at hand leaves to do at its end
+        self.calls_at_event_end: list[Callable[[], None]] = []
         self.now = 0.0
         self.tags: ServerTags | None = None  # how proxies name servers to each other; made when first needed
-        self.balancer = Balancer(self, decode_settings(info), seed)
+        self.balancer = Balancer(self, decode_settings(settings), seed)
         self.messenger = PeerMessenger(
             self.send_to_peers,
             MAX_PEER_MESSAGE_SIZE,
-            self.after_event.append,
+            self.calls_at_event_end.append,
             self.server_tags,
             self.message_time_received,
             self.load_report_received,
@@ -111,7 +111,7 @@
 
     def timer_expired(self, now: float, number: int) -> None:
         """Calls what waits for the timer."""
-        self.timers.take(number)(now)
+        self.timers.pop(number)(now)
 
     def endpoints_received(self, now: float, kind: str, entries: list[list[Any]]) -> None:
         """Handles the endpoint list, changes to it, or the failure to follow it."""
@@ -134,8 +134,8 @@
 
     def finish_event(self) -> None:
         """Sends what was collected in one event."""
-        while self.after_event:
-            self.after_event.pop()()
+        while self.calls_at_event_end:
+            self.calls_at_event_end.pop()()
 
     def keep_while_open(self, request_id: str, request: Request) -> None:
         """Forgets a request for which nothing more can come."""
@@ -171,34 +171,34 @@
 
     def send_to_peers(self, message: bytes, recipient: int | None) -> None:
         """Sends a message to one proxy, or to all."""
-        to = TO_ALL if recipient is None else recipient
-        self.act(Action.SEND_TO_PEERS, to, b85encode(message).decode())
+        to = ALL_PEERS if recipient is None else recipient
+        self.add_action(Action.SEND_TO_PEERS, to, b85encode(message).decode())
 
     # Calls out of the decisions, each one action of the wire.
 
-    def act(self, action: Action, *fields: Any) -> None:
+    def add_action(self, action: Action, *fields: Any) -> None:
         """Adds an action to the reply."""
         self.actions.append([action.value, self.name, *fields])
 
     def start_attempt(self, request: Request, server: Server, max_wait: float) -> None:
         """Tries the request at the server."""
-        self.act(Action.START_ATTEMPT, request.handle, server.id, max(1, to_micros(max_wait)))
+        self.add_action(Action.START_ATTEMPT, request.handle, server.id, max(1, to_micros(max_wait)))
 
     def cancel_attempt(self, request: Request, number: int) -> None:
         """Gives up an attempt."""
-        self.act(Action.CANCEL_ATTEMPT, request.handle, number)
+        self.add_action(Action.CANCEL_ATTEMPT, request.handle, number)
 
     def reject(self, request: Request, retry_after: float) -> None:
         """Answers that a retry is harmless."""
-        self.act(Action.REJECT, request.handle, to_micros(retry_after))
+        self.add_action(Action.REJECT, request.handle, to_micros(retry_after))
 
     def abort(self, request: Request) -> None:
         """Answers without a promise."""
-        self.act(Action.ABORT, request.handle)
+        self.add_action(Action.ABORT, request.handle)
 
     def migrate(self, request: Request) -> None:
         """Ends a session politely."""
-        self.act(Action.MIGRATE, request.handle)
+        self.add_action(Action.MIGRATE, request.handle)
 
     def probe(self, server: Server) -> None:
         """Does nothing: the wire reports message times, so no probe is asked for."""
@@ -230,15 +230,15 @@
 
     def follow_endpoints(self) -> None:
         """Subscribes to the endpoint list."""
-        self.act(Action.FOLLOW_ENDPOINTS, True)
+        self.add_action(Action.FOLLOW_ENDPOINTS, True)
 
     def call_later(self, delay: float, call: Callable[[float], None]) -> None:
         """Sets a timer."""
-        self.act(Action.SET_TIMER, max(0, to_micros(delay)), self.timers.add(call))
+        self.add_action(Action.SET_TIMER, max(0, to_micros(delay)), self.timers.add(call))
 
     def log(self, text: str) -> None:
         """Writes a line to the simulator's log."""
-        self.act(Action.LOG, text)
+        self.add_action(Action.LOG, text)
 
 
 class Timers:
@@ -246,15 +246,15 @@
 
     def __init__(self) -> None:
         self.calls: dict[int, Callable[[float], None]] = {}
-        self.newest = 0
+        self.last_number = 0
 
     def add(self, call: Callable[[float], None]) -> int:
         """Returns the number of a new timer."""
-        self.newest += 1
-        self.calls[self.newest] = call
-        return self.newest
+        self.last_number += 1
+        self.calls[self.last_number] = call
+        return self.last_number
 
-    def take(self, number: int) -> Callable[[float], None]:
+    def pop(self, number: int) -> Callable[[float], None]:
         """Returns what waits for a timer that has expired. Raises MalformedError for an unknown one."""
         call = decode_word(self.calls, number, "alarm")
         del self.calls[number]
--- a/brambleplank/wirehost/wire.py
+++ b/brambleplank/wirehost/wire.py
@@ -13,7 +13,7 @@
 
 MAX_PEER_MESSAGE_SIZE = 204  # bytes, which are 255 letters of text
 MESSAGE_TIME_CHANGE = 2  # the kind of CHANGE that reports a message time
-TO_ALL = "*"
+ALL_PEERS = "*"
 LIST_FAILED = "FAILED"
 
 OUTCOMES = {
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -33,7 +33,7 @@
 from brambleplank.platform.run import Program
 from brambleplank.sidecar import reader
 from brambleplank.sidecar.rules import Machine
-from brambleplank.wirehost.pipe import Pipe
+from brambleplank.wirehost.pipe import Adapter
 from tests.sample_settings import PLATFORM_SETTINGS, endpoint_list
 from tests.test_check import GOOD
 
@@ -202,24 +202,26 @@
 
 
 def test_messages_on_the_wire_hold_no_more_than_it_takes() -> None:
-    pipe = Pipe()
+    adapter = Adapter()
     table = [[name, "a", "m", 0, "IN", 1, None] for name in NAMES]
     news: list[Any] = [["TABLE", 0, table]]
     for number in (0, 1):
         news.append(["ENLIST", f"proxy/{number}", number, settings(number)])
         news.append(["ROSTER_CHANGE", f"proxy/{number}", "SAVED", 1, 0])
-    pipe.batch(json.dumps({"t_us": 10**6, "news": news}))
-    reader_, sender = pipe.proxies["proxy/0"], pipe.proxies["proxy/1"]
+    adapter.handle_batch(json.dumps({"t_us": 10**6, "news": news}))
+    reader_, sender = adapter.proxies["proxy/0"], adapter.proxies["proxy/1"]
     reader_.balancer.server_pool.counts.max_on_ready = 10**9
-    pipe.actions.clear()
+    adapter.actions.clear()
     servers: list[records.Server] = list(sender.balancer.servers.values())
     sender.send_load_report(
         [(server, 300 * number) for number, server in enumerate(servers)], True, None, False
     )
     sender.finish_event()
-    texts = [action[3] for action in pipe.actions]
+    texts = [action[3] for action in adapter.actions]
     assert max(map(len, texts)) <= MAX_DATAGRAM_SIZE
-    pipe.batch(json.dumps({"t_us": 10**6, "news": [["PEER", "proxy/0", 1, text] for text in texts]}))
+    adapter.handle_batch(
+        json.dumps({"t_us": 10**6, "news": [["PEER", "proxy/0", 1, text] for text in texts]})
+    )
     told_of = [server.connections_by_peer.get(1, 0) for server in reader_.balancer.servers.values()]
     assert told_of == [300 * number for number in range(SERVERS)]
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,7 +10,7 @@
 import pytest
 
 from brambleplank.decisions.balancer import Balancer
-from brambleplank.wirehost.pipe import Pipe
+from brambleplank.wirehost.pipe import Adapter
 from tests.sample_settings import PLATFORM_SETTINGS
 
 TABLE = ["TABLE", 0, [["10.0.0.1:80", "a", "m", 0, "IN", 1, None]]]
@@ -76,7 +76,7 @@
 
 def test_exception_in_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Balancer, "place", lambda *_: 1 / 0)
-    reply = json.loads(Pipe().batch(json.dumps({"t_us": 10**6, "news": [*START, REQUEST]})))
+    reply = json.loads(Adapter().handle_batch(json.dumps({"t_us": 10**6, "news": [*START, REQUEST]})))
     assert [a[0] for a in reply["out"]] == ["INTERNAL_ERROR"]
 
 
