--- a/brambleplank/wirehost/__init__.py
+++ b/brambleplank/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire in front of the decisions: it translates, and decides nothing."""
+"""The adapter between the simulator's wire protocol and the decisions; it translates and decides nothing."""
--- a/brambleplank/wirehost/__main__.py
+++ b/brambleplank/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m brambleplank.wirehost`: batches in on standard input, one reply each on standard output."""
+"""`python -m brambleplank.wirehost`: reads batches from standard input, writes replies to standard output."""
 
 import sys
 
--- a/brambleplank/wirehost/pipe.py
+++ b/brambleplank/wirehost/pipe.py
@@ -1,4 +1,4 @@
-"""Batches of events in, one reply line each out, for any number of simulated proxies."""
+"""Dispatches batches of events to any number of simulated proxies; each batch gets one reply line."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from brambleplank.wirehost.simulated_proxy import SimulatedProxy
 from brambleplank.wirehost.wire import LIST_FAILED, Action
 
-FieldTypes = tuple[Any, ...]  # of an event's fields, as `isinstance` takes them
+FieldTypes = tuple[Any, ...]  # one entry for each field of an event, as the second argument of `isinstance`
 NUMBER = int | float
 OPTIONAL_INT = int | None
 OPTIONAL_NUMBER = NUMBER | None
@@ -26,12 +26,12 @@
     OPTIONAL_INT,
 )
 ENDPOINT_FIELDS: FieldTypes = (str, str, object, int, str, OPTIONAL_NUMBER, OPTIONAL_NUMBER)
-MAX_TRACEBACK_DEPTH = 4  # innermost calls
-MALFORMED_INPUT_EXIT_CODE = 2  # exit code
+MAX_TRACEBACK_DEPTH = 4  # innermost frames
+MALFORMED_INPUT_EXIT_CODE = 2
 
 
 class EventHandler(NamedTuple):
-    """The method for an event, and the types of the fields that follow the proxy's name."""
+    """The method that handles an event, and the types of the event's fields after the proxy name."""
 
     method: Callable[..., None]
     field_types: FieldTypes
@@ -53,22 +53,22 @@
 PROXY_STARTED = "ENLIST"
 PROXY_STOPPED = "DETACH"
 LIST_UPDATED = "ROSTER_CHANGE"
-PROBE_ANSWERED = "PROBE_RESULT"  # ignored, as no probe is ever sent
+PROBE_ANSWERED = "PROBE_RESULT"  # ignored, as the adapter never requests a probe
 PROXY_EVENTS = frozenset((*HANDLERS, PROXY_STOPPED, LIST_UPDATED, PROBE_ANSWERED))
 
 encode_reply = json.JSONEncoder(separators=(",", ":")).encode
 
 
 class Adapter:
-    """The simulated proxies of one process, and the numbered lists that they share."""
+    """The simulated proxies of one process, and the numbered endpoint lists that they share."""
 
     def __init__(self) -> None:
         self.proxies: dict[str, SimulatedProxy] = {}
         self.lists: dict[int, list[list[Any]]] = {}
-        self.actions: list[list[Any]] = []  # of the batch at hand
+        self.actions: list[list[Any]] = []  # of the current batch
 
     def handle_batch(self, line: str) -> str:
-        """Handles a batch of events. Returns the reply; raises MalformedError."""
+        """Handles a batch of events and returns the reply. Raises MalformedError for malformed input."""
         try:
             message = json.loads(line)
         except ValueError as error:
@@ -110,7 +110,7 @@
             self.handle_proxy_event(now, proxy, name, fields)
 
     def handle_proxy_event(self, now: float, proxy: SimulatedProxy, name: str, fields: list[Any]) -> None:
-        """Handles an event of a proxy that the proxy does not handle by itself."""
+        """Handles a proxy's events that have no entry in HANDLERS."""
         if name == PROXY_STOPPED:
             del self.proxies[proxy.name]
         elif name == LIST_UPDATED:
@@ -120,7 +120,7 @@
             )
 
     def list_entries(self, fields: list[Any]) -> list[list[Any]]:
-        """Returns the entries of the list that a proxy receives."""
+        """Returns the entries of the endpoint list that the event refers to."""
         if fields[1] == LIST_FAILED:
             return []
         check_fields(LIST_UPDATED, fields, (str, str, OPTIONAL_INT, int))
@@ -129,7 +129,7 @@
         return self.lists[fields[3]]
 
     def start_proxy(self, name: str, seed: int, settings: Any) -> None:
-        """Starts a proxy, in place of one of the same name."""
+        """Starts a proxy, replacing one of the same name."""
         try:
             self.proxies[name] = SimulatedProxy(name, seed, settings, self.actions)
         except (KeyError, TypeError) as error:
@@ -138,7 +138,10 @@
             ) from None
 
     def call_proxy(self, proxy: SimulatedProxy, method: Callable[..., None], *fields: Any) -> None:
-        """Calls the proxy. An exception is reported to the simulator, which ends the run and says why."""
+        """Calls a method of the proxy.
+
+        Exceptions other than MalformedError are reported to the simulator, which ends the run and shows them.
+        """
         try:
             method(proxy, *fields)
             proxy.finish_event()
@@ -150,7 +153,7 @@
 
 
 def check_fields(name: str, fields: Any, types: FieldTypes) -> None:
-    """Raises MalformedError unless the event has a field of each type; more may follow."""
+    """Raises MalformedError unless the first fields have these types, in order; more fields may follow."""
     if isinstance(fields, list) and len(fields) >= len(types) and all(map(isinstance, fields, types)):
         return
     if not isinstance(fields, list) or len(fields) < len(types):
@@ -161,7 +164,7 @@
 
 
 def serve(lines: TextIO, replies: TextIO, errors: TextIO) -> int:
-    """Answers each line of input. Returns the exit code."""
+    """Replies to each line of input that is not blank. Returns the exit code."""
     adapter = Adapter()
     for number, line in enumerate(lines, 1):
         if not line.strip():
--- a/brambleplank/wirehost/simulated_proxy.py
+++ b/brambleplank/wirehost/simulated_proxy.py
@@ -1,4 +1,4 @@
-"""One simulated proxy: the wire's ids outside, objects inside, both ways."""
+"""A simulated proxy: translates between the ids on the wire and the objects of the decisions."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class SimulatedProxy:
-    """Carries the calls of one balancer; its `Host`."""
+    """The `Host` of one balancer: passes events to it and turns its calls into actions on the wire."""
 
     def __init__(self, name: str, seed: int, settings: dict[str, Any], actions: list[list[Any]]) -> None:
         self.name = name
@@ -38,7 +38,7 @@
         self.timers = Timers()
         self.calls_at_event_end: list[Callable[[], None]] = []
         self.now = 0.0
-        self.tags: ServerTags | None = None  # how proxies name servers to each other; made when first needed
+        self.tags: ServerTags | None = None  # built when first needed after a new list
         self.balancer = Balancer(self, decode_settings(settings), seed)
         self.messenger = PeerMessenger(
             self.send_to_peers,
@@ -51,10 +51,10 @@
             self.permit_message_received,
         )
 
-    # Events, each taking the wire's fields in the wire's order.
+    # Events. Each method takes the event's fields in the order of the wire.
 
     def request_received(self, now: float, *fields: Any) -> None:
-        """Handles a new request; with a server, a session that is already established there."""
+        """Handles a new request, or with a server id a session that is already established there."""
         event = RequestEvent(*fields)
         options = RequestOption(event.options or 0)
         request = self.balancer.request_received(
@@ -73,7 +73,7 @@
     def attempt_established(
         self, now: float, request_id: str, number: int, _server_id: str, delay_us: int
     ) -> None:
-        """Handles an attempt that was established."""
+        """Handles the establishment of a session by an attempt."""
         if request := self.requests.get(request_id):
             self.balancer.attempt_established(now, request, number, delay_us * MICRO)
 
@@ -88,7 +88,7 @@
         complete: bool,
         _gauge: list[float] | None,
     ) -> None:
-        """Handles the end of an attempt or its session."""
+        """Handles the end of an attempt or of the session that it established."""
         outcome = decode_word(OUTCOMES, reason, "reason")
         if request := self.requests.get(request_id):
             delay = (delay_us or 0) * MICRO
@@ -96,7 +96,7 @@
             self.keep_while_open(request_id, request)
 
     def client_disconnected(self, now: float, request_id: str) -> None:
-        """Handles a client that has left."""
+        """Handles the disconnection of a client."""
         if request := self.requests.get(request_id):
             self.balancer.client_disconnected(now, request)
             self.keep_while_open(request_id, request)
@@ -104,17 +104,17 @@
     def session_changed(
         self, now: float, request_id: str, _server_id: str, amount: float, number: int, kind: int
     ) -> None:
-        """Handles a change of a session. Message times are used; a connection's load is not."""
+        """Handles a change of a session: uses message times and ignores a connection's load."""
         if kind == MESSAGE_TIME_CHANGE and (request := self.requests.get(request_id)):
             server = request.attempts[number].server
             self.balancer.message_time_reported(now, server, amount / MILLIS_PER_SECOND)
 
     def timer_expired(self, now: float, number: int) -> None:
-        """Calls what waits for the timer."""
+        """Runs the callback of the timer."""
         self.timers.pop(number)(now)
 
     def endpoints_received(self, now: float, kind: str, entries: list[list[Any]]) -> None:
-        """Handles the endpoint list, changes to it, or the failure to follow it."""
+        """Handles a complete endpoint list, changes to the list, or a failed subscription."""
         if kind == LIST_FAILED:
             self.balancer.endpoint_list_failed(now)
             return
@@ -123,7 +123,7 @@
         self.balancer.endpoints_received(now, endpoints, decode_word(LIST_KINDS, kind, "kind of list"))
 
     def peer_message_received(self, now: float, peer: int, text: str) -> None:
-        """Handles a message of another proxy; one of an unknown form is ignored, as of another build."""
+        """Handles a message from another proxy. Ignores unknown formats, which other builds may send."""
         try:
             message = b85decode(text)
             if message and message[0] in TAG_WIDTHS_BY_FIRST_BYTE:
@@ -133,12 +133,12 @@
             return
 
     def finish_event(self) -> None:
-        """Sends what was collected in one event."""
+        """Runs the calls deferred to the end of the event, which send the messages for peers."""
         while self.calls_at_event_end:
             self.calls_at_event_end.pop()()
 
     def keep_while_open(self, request_id: str, request: Request) -> None:
-        """Forgets a request for which nothing more can come."""
+        """Keeps a request until it is answered and has no active attempt; then drops it."""
         if request.answered and request.active_attempt is None:
             self.requests.pop(request_id, None)
         else:
@@ -147,64 +147,64 @@
     # Messages between proxies.
 
     def server_tags(self) -> ServerTags:
-        """Returns how proxies name the servers of the present list to each other."""
+        """Returns the tags that identify the servers of the current list in peer messages."""
         self.tags = self.tags or ServerTags(self.balancer.servers.values())
         return self.tags
 
     def message_time_received(self, server: Server, seconds: float, _usual: float) -> None:
-        """Takes in a peer's report of a message time."""
+        """Handles a peer's report of a message time."""
         self.balancer.message_time_reported(self.now, server, seconds)
 
     def load_report_received(
         self, peer: int, connections: dict[Server, int], complete: bool, is_aggregate: bool
     ) -> None:
-        """Takes in a peer's load report."""
+        """Handles a peer's load report."""
         self.balancer.load_report_received(self.now, peer, connections.items(), complete, is_aggregate)
 
     def group_server_received(self, position: int, server: Server) -> None:
-        """Takes in a peer's report of where a displaced group is."""
+        """Handles a peer's report of the server to which a displaced group has moved."""
         self.balancer.group_server_reported(self.now, position, server)
 
     def permit_message_received(self, peer: int, server: Server, message: int) -> None:
-        """Takes in a peer's permit request or answer."""
+        """Handles a peer's permit request, or its answer to one."""
         self.balancer.permit_message_received(self.now, peer, server, message)
 
     def send_to_peers(self, message: bytes, recipient: int | None) -> None:
-        """Sends a message to one proxy, or to all."""
+        """Sends a message to one proxy, or to all if there is no recipient."""
         to = ALL_PEERS if recipient is None else recipient
         self.add_action(Action.SEND_TO_PEERS, to, b85encode(message).decode())
 
-    # Calls out of the decisions, each one action of the wire.
+    # Calls of the decisions to their host. Most become an action on the wire.
 
     def add_action(self, action: Action, *fields: Any) -> None:
         """Adds an action to the reply."""
         self.actions.append([action.value, self.name, *fields])
 
     def start_attempt(self, request: Request, server: Server, max_wait: float) -> None:
-        """Tries the request at the server."""
+        """Starts an attempt of the request at the server."""
         self.add_action(Action.START_ATTEMPT, request.handle, server.id, max(1, to_micros(max_wait)))
 
     def cancel_attempt(self, request: Request, number: int) -> None:
-        """Gives up an attempt."""
+        """Cancels an attempt."""
         self.add_action(Action.CANCEL_ATTEMPT, request.handle, number)
 
     def reject(self, request: Request, retry_after: float) -> None:
-        """Answers that a retry is harmless."""
+        """Sends the final answer that a retry is harmless."""
         self.add_action(Action.REJECT, request.handle, to_micros(retry_after))
 
     def abort(self, request: Request) -> None:
-        """Answers without a promise."""
+        """Sends the final answer that does not promise that a retry is harmless."""
         self.add_action(Action.ABORT, request.handle)
 
     def migrate(self, request: Request) -> None:
-        """Ends a session politely."""
+        """Ends a session and asks its client to reconnect."""
         self.add_action(Action.MIGRATE, request.handle)
 
     def probe(self, server: Server) -> None:
-        """Does nothing: the wire reports message times, so no probe is asked for."""
+        """Does nothing: the simulator reports message times itself, so no probe is needed."""
 
     def report_message_time(self, server: Server, seconds: float) -> None:
-        """Does nothing: the wire reports message times to every proxy."""
+        """Does nothing: the simulator reports message times to every proxy."""
 
     def send_load_report(
         self,
@@ -213,7 +213,7 @@
         recipient: int | None,
         is_aggregate: bool,
     ) -> None:
-        """Sends connections by server to one proxy, or to all."""
+        """Sends connection counts by server to one proxy, or to all if there is no recipient."""
         self.messenger.send_load_report(dict(connections), complete, recipient, is_aggregate)
 
     def send_permit_message(self, server: Server, recipient: int, message: int) -> None:
@@ -221,11 +221,11 @@
         self.messenger.send_permit_message(server, recipient, message)
 
     def report_group_servers(self, reports: Iterable[tuple[int, Server]]) -> None:
-        """Reports to all proxies where displaced groups are."""
+        """Reports to all proxies the servers to which displaced groups have moved."""
         self.messenger.report_group_servers(dict(reports))
 
     def free_descriptor_share(self) -> float:
-        """Returns 1: no descriptors are counted here."""
+        """Returns 1, as no descriptors are counted in the simulator."""
         return 1.0
 
     def follow_endpoints(self) -> None:
@@ -237,25 +237,25 @@
         self.add_action(Action.SET_TIMER, max(0, to_micros(delay)), self.timers.add(call))
 
     def log(self, text: str) -> None:
-        """Writes a line to the simulator's log."""
+        """Logs a line in the simulator's log."""
         self.add_action(Action.LOG, text)
 
 
 class Timers:
-    """Timers that the simulator keeps, by the numbers it was given."""
+    """The callbacks of timers set in the simulator, by timer number."""
 
     def __init__(self) -> None:
         self.calls: dict[int, Callable[[float], None]] = {}
         self.last_number = 0
 
     def add(self, call: Callable[[float], None]) -> int:
-        """Returns the number of a new timer."""
+        """Stores the callback of a new timer and returns the timer's number."""
         self.last_number += 1
         self.calls[self.last_number] = call
         return self.last_number
 
     def pop(self, number: int) -> Callable[[float], None]:
-        """Returns what waits for a timer that has expired. Raises MalformedError for an unknown one."""
+        """Removes an expired timer and returns its callback. Raises MalformedError if it is unknown."""
         call = decode_word(self.calls, number, "alarm")
         del self.calls[number]
         return call
--- a/brambleplank/wirehost/wire.py
+++ b/brambleplank/wirehost/wire.py
@@ -1,6 +1,6 @@
-"""The names of the simulator's wire, and what they mean in the terms of the decisions.
+"""Maps the names on the simulator's wire to the terms of the decisions.
 
-The themed words of the wire appear in this file and in `pipe.py`'s table of events only.
+The simulator's own vocabulary appears only here and in the event names of `pipe.py`.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from brambleplank.model import AttemptOutcome, Endpoint, EndpointStatus
 from brambleplank.settings import MICRO, decode_word
 
-MAX_PEER_MESSAGE_SIZE = 204  # bytes, which are 255 letters of text
-MESSAGE_TIME_CHANGE = 2  # the kind of CHANGE that reports a message time
+MAX_PEER_MESSAGE_SIZE = 204  # bytes; 255 characters in base85
+MESSAGE_TIME_CHANGE = 2  # the kind in a CHANGE event that reports a message time
 ALL_PEERS = "*"
 LIST_FAILED = "FAILED"
 
@@ -27,18 +27,18 @@
     114: AttemptOutcome.ABANDONED,
 }
 STATUSES = {"IN": EndpointStatus.READY, "LAME": EndpointStatus.DRAINING, "OUT": EndpointStatus.REMOVED}
-LIST_KINDS = {"INCREMENTAL": False, "FULL": True, "SAVED": True}  # whether the list is whole
+LIST_KINDS = {"INCREMENTAL": False, "FULL": True, "SAVED": True}  # whether the list is complete
 
 
 class RequestOption(IntFlag):
-    """Bits that come with a request."""
+    """Bits of a request's options."""
 
     RESUMED = 8
     RECONNECTING = 16
 
 
 class RequestEvent(NamedTuple):
-    """The fields of a new request, in the wire's order."""
+    """The fields of a new request, in the order of the wire."""
 
     request_id: str
     traffic_class: str
@@ -48,11 +48,11 @@
     expected: float | None  # not used
     group: int | None
     options: int | None  # bits of `RequestOption`
-    server_id: str | None = None  # where its session is established already
+    server_id: str | None = None  # if set, the session is already established there
 
 
 class Action(StrEnum):
-    """What a proxy asks of the simulator."""
+    """Actions that a proxy requests from the simulator."""
 
     START_ATTEMPT = "DELIVER"
     CANCEL_ATTEMPT = "REVOKE"
@@ -67,12 +67,12 @@
 
 
 def to_micros(seconds: float) -> int:
-    """Returns a span in the wire's unit."""
+    """Returns a duration in microseconds, the unit of the wire."""
     return round(seconds / MICRO)
 
 
 def decode_endpoint(entry: list[Any]) -> Endpoint:
-    """Returns one endpoint of a list: id, zone, a name that is not used, cell, status, size, start."""
+    """Decodes a list entry: id, zone, an unused name, cell, status, size and start time."""
     server_id, zone, _, cell, status, size, started_us = entry[:7]
     return Endpoint(
         id=server_id,
