--- a/brambleplank/emulator/clients.py
+++ b/brambleplank/emulator/clients.py
@@ -46,7 +46,7 @@
         self.deadline = deadline
         self.session_time = session_time
         self.finished = finished
-        self.unread = b""
+        self.buffer = b""
         self.last_word = ""
         self.is_reported = False
 
@@ -60,7 +60,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Cuts what came into lines."""
-        *lines, self.unread = (self.unread + data).split(b"\r\n")
+        *lines, self.buffer = (self.buffer + data).split(b"\r\n")
         for line in lines:
             self.line_received(line.decode(errors="replace"))
 
@@ -72,7 +72,7 @@
             word = line.split(" ", 1)[0]
             record.answers.append(ANSWERS.get(word, "aborted"))
             if word == "UP":
-                asyncio.get_running_loop().call_later(self.session_time, self.leave)
+                asyncio.get_running_loop().call_later(self.session_time, self.end_session)
                 self.send_line()
         elif record.answers[0] != "established":
             record.answers.append(line)
@@ -87,7 +87,7 @@
             self.transport.write(b"M 1\r\n")
             asyncio.get_running_loop().call_later(LINE_INTERVAL, self.send_line)
 
-    def leave(self) -> None:
+    def end_session(self) -> None:
         """Ends the session by itself."""
         if not self.transport.is_closing() and not self.record.end:
             self.record.end = "done"
--- a/brambleplank/emulator/consul.py
+++ b/brambleplank/emulator/consul.py
@@ -15,8 +15,8 @@
 
 from brambleplank.tables import parse_seconds
 
-LONGEST_WAIT = 600.0
-LARGEST_HEAD = 16 * 1024
+MAX_WAIT = 600.0
+MAX_HEAD_SIZE = 16 * 1024
 
 
 @dataclass
@@ -54,18 +54,18 @@
         self.services: dict[str, dict[str, ServiceInstance]] = {}
         self.index = 1
         self.changed_at: dict[str, int] = {}
-        self.leader = True
-        self.contact_ms = 0
+        self.has_leader = True
+        self.last_contact_ms = 0
         self.token = ""  # the one that it takes; "": any
-        self.statuses: list[int] = []  # what the next answers are instead
-        self.torn = 0  # so many next answers end in the middle
-        self.slow = 0.0  # seconds before each answer
+        self.next_statuses: list[int] = []  # what the next answers are instead
+        self.truncated_answers = 0  # so many next answers end in the middle
+        self.answer_delay = 0.0  # seconds before each answer
         self.answer_count = 0
         self.port = 0
         self.listener: asyncio.Server | None = None
-        self.open: set[asyncio.StreamWriter] = set()
-        self.serving: set[asyncio.Task[Any]] = set()  # one for each connection
-        self.turned = asyncio.Event()
+        self.open_connections: set[asyncio.StreamWriter] = set()
+        self.connection_tasks: set[asyncio.Task[Any]] = set()  # one for each connection
+        self.changed = asyncio.Event()
 
     @property
     def address(self) -> str:
@@ -74,7 +74,7 @@
 
     async def listen(self) -> None:
         """Listens; after a stop, at the same port."""
-        self.turned = asyncio.Event()
+        self.changed = asyncio.Event()
         self.listener = await asyncio.start_server(self.serve, "127.0.0.1", self.port)
         self.port = self.listener.sockets[0].getsockname()[1]
 
@@ -83,9 +83,9 @@
         if self.listener:
             self.listener.close()
             self.listener = None
-        for writer in list(self.open):
+        for writer in list(self.open_connections):
             writer.transport.abort()
-        self.turned.set()
+        self.changed.set()
 
     async def close(self) -> None:
         """The agent goes for good. What waits for a change in its catalogue has ended when this returns.
@@ -93,10 +93,10 @@
         After `stop` alone, a loop that ends at once would destroy those tasks while they are pending.
         """
         self.stop()
-        serving = list(self.serving)
-        for task in serving:
+        tasks = list(self.connection_tasks)
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*serving, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
 
     def update_service(self, service: str, instance: ServiceInstance | None = None, drop: str = "") -> None:
         """A member is put in, or dropped; whoever waits on the service is answered."""
@@ -110,9 +110,9 @@
         """Notes a change of a service; whoever waits on it is answered."""
         self.index += 1
         self.changed_at[service] = self.index
-        turned = self.turned
-        self.turned = asyncio.Event()
-        turned.set()
+        changed = self.changed
+        self.changed = asyncio.Event()
+        changed.set()
 
     def reset_index(self, index: int) -> None:
         """As a restored or restarted one does: it counts from a lower index."""
@@ -121,11 +121,11 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answers the queries of one connection."""
-        self.open.add(writer)
+        self.open_connections.add(writer)
         task = asyncio.current_task()
         assert task is not None
-        self.serving.add(task)
-        task.add_done_callback(self.serving.discard)
+        self.connection_tasks.add(task)
+        task.add_done_callback(self.connection_tasks.discard)
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -133,7 +133,7 @@
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, asyncio.CancelledError):
             pass  # the client went, or whoever started this ends
         finally:
-            self.open.discard(writer)
+            self.open_connections.discard(writer)
             writer.close()
 
     async def answer(self, head: str, writer: asyncio.StreamWriter) -> None:
@@ -143,9 +143,9 @@
         target = urlsplit(first.split(" ")[1])
         query = {key: value[0] for key, value in parse_qs(target.query, keep_blank_values=True).items()}
         service = unquote(target.path.rsplit("/", 1)[-1])
-        if self.slow:
-            await asyncio.sleep(self.slow)
-        status = self.statuses.pop(0) if self.statuses else 200
+        if self.answer_delay:
+            await asyncio.sleep(self.answer_delay)
+        status = self.next_statuses.pop(0) if self.next_statuses else 200
         if self.token and headers.get("x-consul-token") != self.token:
             status = 403
         is_blocking = status == 200 and "index" in query
@@ -161,15 +161,15 @@
         Returns False if the client has left.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + min(LONGEST_WAIT, parse_seconds(query.get("wait", "300s")) or 300.0)
+        deadline = loop.time() + min(MAX_WAIT, parse_seconds(query.get("wait", "300s")) or 300.0)
         while self.changed_at.get(service, 1) <= int(query["index"]):
             if writer.is_closing():
                 return False
-            left = until - loop.time()
-            if left <= 0:
+            remaining = deadline - loop.time()
+            if remaining <= 0:
                 break
             try:
-                await asyncio.wait_for(self.turned.wait(), left)
+                await asyncio.wait_for(self.changed.wait(), remaining)
             except asyncio.TimeoutError:  # noqa: UP041
                 break
         return True
@@ -181,13 +181,13 @@
         head = (
             f"HTTP/1.1 {status} -\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n"
             f"X-Consul-Index: {self.changed_at.get(service, 1)}\r\n"
-            f"X-Consul-KnownLeader: {'true' if self.leader else 'false'}\r\n"
-            f"X-Consul-LastContact: {self.contact_ms}\r\n\r\n"
+            f"X-Consul-KnownLeader: {'true' if self.has_leader else 'false'}\r\n"
+            f"X-Consul-LastContact: {self.last_contact_ms}\r\n\r\n"
         )
         self.answer_count += 1
         writer.write(head.encode())
-        if self.torn and status == 200:
-            self.torn -= 1
+        if self.truncated_answers and status == 200:
+            self.truncated_answers -= 1
             writer.write(body[: len(body) // 2])
             await writer.drain()
             writer.transport.abort()
@@ -200,7 +200,7 @@
 
 STATUSES = ("passing", "warning", "critical")
 MAINTENANCE = ("maintain", "lift")
-DOINGS = (
+STEP_ACTIONS = (
     "register",
     "deregister",
     "passing",
@@ -227,27 +227,29 @@
     action: str
     service: str = ""
     server: str = ""
-    more: dict[str, Any] = field(default_factory=dict)
+    arguments: dict[str, Any] = field(default_factory=dict)
 
 
 def parse_script(text: str) -> list[Step]:
     """The steps of a TOML file of [[step]] tables, in their order. Raises ValueError, naming the step."""
     steps = []
-    for n, each in enumerate(tomllib.loads(text).get("step", []), 1):
-        at = parse_seconds(str(each.get("at", "")))
-        if at is None or each.get("do") not in DOINGS:
-            raise ValueError(f"step[{n}]: need at = a time, do = one of {', '.join(DOINGS)}")
-        more = {key: value for key, value in each.items() if key not in ("at", "do", "service", "server")}
-        steps.append(Step(at, each["do"], each.get("service", ""), each.get("server", ""), more))
+    for n, entry in enumerate(tomllib.loads(text).get("step", []), 1):
+        at = parse_seconds(str(entry.get("at", "")))
+        if at is None or entry.get("do") not in STEP_ACTIONS:
+            raise ValueError(f"step[{n}]: need at = a time, do = one of {', '.join(STEP_ACTIONS)}")
+        arguments = {
+            key: value for key, value in entry.items() if key not in ("at", "do", "service", "server")
+        }
+        steps.append(Step(at, entry["do"], entry.get("service", ""), entry.get("server", ""), arguments))
     return sorted(steps, key=lambda step: step.at)
 
 
 async def run_script(agent: StandInConsul, steps: list[Step]) -> None:
     """Plays a script from now on."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started = loop.time()
     for step in steps:
-        await asyncio.sleep(max(0.0, began + step.at - loop.time()))
+        await asyncio.sleep(max(0.0, started + step.at - loop.time()))
         await apply_step(agent, step)
 
 
@@ -255,7 +257,7 @@
     """Does one step to an agent."""
     instance = agent.services.get(step.service, {}).get(step.server)
     if step.action == "register":
-        agent.update_service(step.service, ServiceInstance(step.server, **step.more))
+        agent.update_service(step.service, ServiceInstance(step.server, **step.arguments))
     elif step.action == "deregister":
         agent.update_service(step.service, drop=step.server)
     elif instance and step.action in (*STATUSES, *MAINTENANCE):
@@ -269,18 +271,18 @@
     elif step.action == "start":
         await agent.listen()
     else:
-        disturb(agent, step)
+        apply_fault(agent, step)
 
 
-def disturb(agent: StandInConsul, step: Step) -> None:
+def apply_fault(agent: StandInConsul, step: Step) -> None:
     """Changes how an agent answers."""
     if step.action == "go_back":
-        agent.reset_index(int(step.more.get("index", 1)))
+        agent.reset_index(int(step.arguments.get("index", 1)))
     elif step.action in ("leader", "no_leader"):
-        agent.leader = step.action == "leader"
+        agent.has_leader = step.action == "leader"
     elif step.action == "statuses":
-        agent.statuses = list(step.more.get("list", [500]))
+        agent.next_statuses = list(step.arguments.get("list", [500]))
     elif step.action == "torn":
-        agent.torn = int(step.more.get("count", 1))
+        agent.truncated_answers = int(step.arguments.get("count", 1))
     elif step.action == "slow":
-        agent.slow = parse_seconds(str(step.more.get("by", "0s"))) or 0.0
+        agent.answer_delay = parse_seconds(str(step.arguments.get("by", "0s"))) or 0.0
--- a/brambleplank/emulator/servers.py
+++ b/brambleplank/emulator/servers.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 OPEN_LINE = re.compile(rb"OPEN ([0-9a-fA-F]+) ([0-9a-fA-F]+) (\S+)")
-LONGEST_LINE = 4096
+MAX_LINE_LENGTH = 4096
 
 
 @dataclass(frozen=True)
@@ -20,7 +20,7 @@
     """One OPEN as a server had it."""
 
     at: float  # Unix time, seconds
-    flow: str
+    request_id: str
     service_type: str
     server: str
 
@@ -30,8 +30,8 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.answer = b"UP"  # the word it answers an OPEN with; b"" for silence
-        self.delay = 0.0  # seconds it takes for that
+        self.open_reply = b"UP"  # the word it answers an OPEN with; b"" for silence
+        self.reply_delay = 0.0  # seconds it takes for that
         self.open_records: list[OpenRecord] = []
         self.connections: set[ServerConnection] = set()
         self.listener: asyncio.Server | None = None
@@ -55,7 +55,7 @@
         for each in list(self.connections):
             each.transport.abort()
 
-    def finish(self) -> None:
+    def shut_down(self) -> None:
         """Ends as a drained server does: sessions get BYE, and nobody listens."""
         if self.listener:
             self.listener.close()
@@ -72,7 +72,7 @@
 
     def __init__(self, server: StandInServer) -> None:
         self.server = server
-        self.unread = b""
+        self.buffer = b""
         self.is_established = False
 
     def connection_made(self, transport: Any) -> None:
@@ -86,10 +86,10 @@
 
     def data_received(self, data: bytes) -> None:
         """Cuts what came into lines; a line without end breaks the connection."""
-        *lines, self.unread = (self.unread + data).split(b"\r\n")
+        *lines, self.buffer = (self.buffer + data).split(b"\r\n")
         for line in lines:
             self.line_received(line)
-        if len(self.unread) > LONGEST_LINE:
+        if len(self.buffer) > MAX_LINE_LENGTH:
             self.transport.abort()
 
     def line_received(self, line: bytes) -> None:
@@ -100,21 +100,21 @@
             self.send_line(b"PONG")
         elif match := OPEN_LINE.fullmatch(line):
             fields = dict(part.split(b"=", 1) for part in match[3].split(b",") if b"=" in part)
-            kind = fields.get(b"c", b"").decode(errors="replace")
+            service_type = fields.get(b"c", b"").decode(errors="replace")
             self.server.open_records.append(
-                OpenRecord(time.time(), match[1].decode(), kind, self.server.name)
+                OpenRecord(time.time(), match[1].decode(), service_type, self.server.name)
             )
-            if self.server.answer:
-                asyncio.get_running_loop().call_later(self.server.delay, self.answer)
+            if self.server.open_reply:
+                asyncio.get_running_loop().call_later(self.server.reply_delay, self.reply_to_open)
         else:
             self.send_line(b"SYNTAX")
             self.transport.close()
 
-    def answer(self) -> None:
+    def reply_to_open(self) -> None:
         """Answers the OPEN, unless its client has left."""
         if self.transport.is_closing():
             return
-        word = self.server.answer
+        word = self.server.open_reply
         self.send_line(b"UP r%d" % len(self.server.open_records) if word == b"UP" else word)
         self.is_established = word == b"UP"
         if not self.is_established:
--- a/brambleplank/emulator/trial.py
+++ b/brambleplank/emulator/trial.py
@@ -24,19 +24,19 @@
 from brambleplank.sidecar.shapes import Servers as ServersFile
 from brambleplank.tables import Seconds
 
-PATIENCE = 1.8  # seconds that a client waits for its answer
-LATE = 0.05  # seconds that sockets may add to a limit
-STAYS = (0.5, 3.0)  # seconds that a flow stands
-START_WITHIN = 15.0
-END_WITHIN = 10.0
-DRAIN = 1.0  # seconds
-TYPES = [
-    ServiceType("map-views", "repeatable", Seconds(0.3), Seconds(PATIENCE)),
-    ServiceType("orders", "referenced", Seconds(0.3), Seconds(PATIENCE), None, "all", Seconds(5.0)),
-    ServiceType("warnings", "once-only", Seconds(0.3), Seconds(PATIENCE)),
+CLIENT_DEADLINE = 1.8  # seconds that a client waits for its answer
+TIMING_TOLERANCE = 0.05  # seconds that sockets may add to a limit
+SESSION_TIME_RANGE = (0.5, 3.0)  # seconds that a flow stands
+START_TIMEOUT = 15.0
+STOP_TIMEOUT = 10.0
+DRAIN_WINDOW = 1.0  # seconds
+SERVICE_TYPES = [
+    ServiceType("map-views", "repeatable", Seconds(0.3), Seconds(CLIENT_DEADLINE)),
+    ServiceType("orders", "referenced", Seconds(0.3), Seconds(CLIENT_DEADLINE), None, "all", Seconds(5.0)),
+    ServiceType("warnings", "once-only", Seconds(0.3), Seconds(CLIENT_DEADLINE)),
 ]
-GIVEN = ("established", "rejected", "aborted")
-ENDS = ("done", "moved", "bye", "broke")
+ANSWERS = ("established", "rejected", "aborted")
+SESSION_ENDS = ("done", "moved", "bye", "broke")
 
 
 class Trial:
@@ -56,7 +56,7 @@
         self.drained_at = 0.0
         self.log = folder / "sidecar.log"
 
-    async def play(self) -> int:
+    async def run(self) -> int:
         """Returns the exit code: 1 if a rule was broken, 2 if the sidecar did not start."""
         for server in self.servers:
             await server.listen()
@@ -64,7 +64,7 @@
         file = File(
             "trial",
             Listen(socket=str(self.socket)),
-            TYPES,
+            SERVICE_TYPES,
             limits=Limits(connections=400, descriptors=1024),
             connects=Connects(),
             servers=ServersFile("trial.servers.toml"),
@@ -76,22 +76,22 @@
                 sys.executable, "-m", "brambleplank.cli", "run", str(path), stderr=log
             )
             try:
-                if not await self.ready(sidecar):
+                if not await self.wait_until_ready(sidecar):
                     self.write_line(self.log.read_text())
                     return 2
-                await self.play_load()
+                await self.run_load()
                 sidecar.send_signal(signal.SIGTERM)
-                code = await asyncio.wait_for(sidecar.wait(), END_WITHIN)
+                exit_code = await asyncio.wait_for(sidecar.wait(), STOP_TIMEOUT)
             finally:
                 if sidecar.returncode is None:
                     sidecar.kill()
                     await sidecar.wait()
-        return self.report(code)
+        return self.report(exit_code)
 
-    async def ready(self, sidecar: asyncio.subprocess.Process) -> bool:
+    async def wait_until_ready(self, sidecar: asyncio.subprocess.Process) -> bool:
         """Whether the sidecar says in time that it is ready."""
-        until = time.monotonic() + START_WITHIN
-        while time.monotonic() < until and sidecar.returncode is None:
+        deadline = time.monotonic() + START_TIMEOUT
+        while time.monotonic() < deadline and sidecar.returncode is None:
             if "ready: " in self.log.read_text():
                 return True
             await asyncio.sleep(0.02)
@@ -110,21 +110,21 @@
             ),
         )
 
-    async def play_load(self) -> None:
+    async def run_load(self) -> None:
         """Plays clients all the time; a quarter in, feed1 drains; half in, feed2 dies; then feed1 is gone."""
-        began = time.monotonic()
+        started = time.monotonic()
         sent = 0
         events = [
             (0.25, "feed1 drains", self.begin_drain),
             (0.5, "feed2 dies", self.kill_server),
             (0.75, "feed1 is gone", self.remove_drained),
         ]
-        while (now := time.monotonic() - began) < self.seconds:
+        while (now := time.monotonic() - started) < self.seconds:
             while events and now >= events[0][0] * self.seconds:
                 self.write_line(f"{now:5.1f} s  {events[0][1]}")
                 events.pop(0)[2]()
             while sent < now * self.rate:
-                self.start_client(TYPES[sent % len(TYPES)].name)
+                self.start_client(SERVICE_TYPES[sent % len(SERVICE_TYPES)].name)
                 sent += 1
             await asyncio.sleep(0.005)
         self.write_line(f"{self.seconds:5.1f} s  the sidecar is told to leave")
@@ -143,99 +143,101 @@
         """The drained server ends."""
         self.states["feed1"] = "gone"
         self.write_servers()
-        self.servers[0].finish()
+        self.servers[0].shut_down()
 
-    def start_client(self, service_type: str, returns: bool = False) -> None:
+    def start_client(self, service_type: str, is_reconnecting: bool = False) -> None:
         """Starts a client; one whose session was moved or broke starts again once."""
         record = RequestRecord(
-            f"{self.rng.getrandbits(64):016x}", service_type, time.time(), is_reconnecting=returns
+            f"{self.rng.getrandbits(64):016x}", service_type, time.time(), is_reconnecting=is_reconnecting
         )
         self.records.append(record)
-        caller = Client(
+        client = Client(
             record,
             f"{self.rng.getrandbits(64):016x}",
-            PATIENCE,
-            self.rng.uniform(*STAYS),
+            CLIENT_DEADLINE,
+            self.rng.uniform(*SESSION_TIME_RANGE),
             self.client_finished,
         )
-        task = asyncio.create_task(self.connect(caller))
+        task = asyncio.create_task(self.connect(client))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def connect(self, caller: Client) -> None:
+    async def connect(self, client: Client) -> None:
         """Connects a client, if the sidecar listens."""
         with suppress(OSError):
-            await asyncio.get_running_loop().create_unix_connection(lambda: caller, str(self.socket))
+            await asyncio.get_running_loop().create_unix_connection(lambda: client, str(self.socket))
 
     def client_finished(self, record: RequestRecord) -> None:
         """Lets a client whose session was moved or broke come again."""
         if record.end in ("moved", "broke", "bye") and not record.is_reconnecting and self.socket.exists():
-            self.start_client(record.service_type, returns=True)
+            self.start_client(record.service_type, is_reconnecting=True)
 
-    def report(self, code: int) -> int:
+    def report(self, exit_code: int) -> int:
         """Prints what became of all requests, and whether the rules were kept; returns the exit code."""
         self.write_line(
             f"\n{'service type':14}{'flows':>7}"
-            + "".join(f"{word:>13}" for word in GIVEN)
+            + "".join(f"{word:>13}" for word in ANSWERS)
             + "   then "
-            + "".join(f"{word:>7}" for word in ENDS)
+            + "".join(f"{word:>7}" for word in SESSION_ENDS)
             + f"{'setup p50':>12}{'p99':>9}"
         )
-        for kind in TYPES:
-            mine = [record for record in self.records if record.service_type == kind.name]
-            answers = Counter(record.answers[0] for record in mine if record.answers)
-            ends = Counter(record.end for record in mine)
-            waits = sorted(
-                record.answer_delay for record in mine if record.answers[:1] == ["established"]
+        for service_type in SERVICE_TYPES:
+            records = [record for record in self.records if record.service_type == service_type.name]
+            answers = Counter(record.answers[0] for record in records if record.answers)
+            ends = Counter(record.end for record in records)
+            delays = sorted(
+                record.answer_delay for record in records if record.answers[:1] == ["established"]
             ) or [0.0]
             self.write_line(
-                f"{kind.name:14}{len(mine):7}"
-                + "".join(f"{answers[word]:13}" for word in GIVEN)
+                f"{service_type.name:14}{len(records):7}"
+                + "".join(f"{answers[word]:13}" for word in ANSWERS)
                 + "        "
-                + "".join(f"{ends[word]:7}" for word in ENDS)
-                + f"{waits[len(waits) // 2] * 1000:9.1f} ms{waits[len(waits) * 99 // 100] * 1000:6.1f} ms"
+                + "".join(f"{ends[word]:7}" for word in SESSION_ENDS)
+                + f"{delays[len(delays) // 2] * 1000:9.1f} ms{delays[len(delays) * 99 // 100] * 1000:6.1f} ms"
             )
         self.write_line("")
         for server in self.servers:
             self.write_line(f"{server.name}  {len(server.open_records):5} flows  {self.states[server.name]}")
-        faults = self.broken_rules(code)
-        self.write_line("\nRules: " + ("all kept" if not faults else "; ".join(faults)))
+        violations = self.find_violations(exit_code)
+        self.write_line("\nRules: " + ("all kept" if not violations else "; ".join(violations)))
         self.write_line("Next: brambleplank new, then check, explain and run; docs/sidecar.md")
-        return 1 if faults else 0
+        return 1 if violations else 0
 
-    def broken_rules(self, code: int) -> list[str]:
+    def find_violations(self, exit_code: int) -> list[str]:
         """Returns what the records have against the four rules and the sidecar's own end."""
-        found = []
-        if code:
-            found.append(f"the sidecar ended with {code}")
+        violations = []
+        if exit_code:
+            violations.append(f"the sidecar ended with {exit_code}")
         for record in self.records:
             if len(record.answers) != 1:
-                found.append(f"flow {record.id} had {len(record.answers)} final answers")
-            elif record.answer_delay > PATIENCE + LATE:
-                found.append(f"flow {record.id} was answered after {record.answer_delay:.2f} s")
-        had = Counter(opening.flow for server in self.servers for opening in server.open_records)
-        once = {record.id for record in self.records if record.service_type == "warnings"}
-        found += [
-            f"once-only flow {flow} reached {times} servers"
-            for flow, times in had.items()
-            if times > 1 and flow in once
+                violations.append(f"flow {record.id} had {len(record.answers)} final answers")
+            elif record.answer_delay > CLIENT_DEADLINE + TIMING_TOLERANCE:
+                violations.append(f"flow {record.id} was answered after {record.answer_delay:.2f} s")
+        opens_by_request = Counter(
+            open_record.request_id for server in self.servers for open_record in server.open_records
+        )
+        once_only_ids = {record.id for record in self.records if record.service_type == "warnings"}
+        violations += [
+            f"once-only flow {request_id} reached {open_count} servers"
+            for request_id, open_count in opens_by_request.items()
+            if open_count > 1 and request_id in once_only_ids
         ]
         if self.drained_at:
-            after = [opening.at - self.drained_at for opening in self.servers[0].open_records]
+            after = [open_record.at - self.drained_at for open_record in self.servers[0].open_records]
             last = max(after, default=0.0)
             when = f"{last:.2f} s after" if last > 0 else "before"
             self.write_line(
-                f"feed1 had its last new flow {when} the list told of its drain ({DRAIN} s: allowed)"
+                f"feed1 had its last new flow {when} the list told of its drain ({DRAIN_WINDOW} s: allowed)"
             )
-            if last > DRAIN + LATE:
-                found.append("the drain was not kept")
-        return found
+            if last > DRAIN_WINDOW + TIMING_TOLERANCE:
+                violations.append("the drain was not kept")
+        return violations
 
 
 def main(seconds: float, rate: int, keep: str | None, write_line: Callable[[str], object]) -> int:
     """Plays it in a folder of its own, or in the one to keep."""
     if keep:
         Path(keep).mkdir(parents=True, exist_ok=True)
-        return asyncio.run(Trial(Path(keep).resolve(), seconds, rate, write_line).play())
+        return asyncio.run(Trial(Path(keep).resolve(), seconds, rate, write_line).run())
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(Trial(Path(folder), seconds, rate, write_line).play())
+        return asyncio.run(Trial(Path(folder), seconds, rate, write_line).run())
--- a/tests/test_consul_stand_in.py
+++ b/tests/test_consul_stand_in.py
@@ -45,7 +45,7 @@
         for _ in range(3):
             _, writer = await asyncio.open_connection("127.0.0.1", agent.port)
             writer.write(b"GET /v1/health/service/feeds?index=1&wait=60s HTTP/1.1\r\n\r\n")
-        while len(agent.open) < 3:
+        while len(agent.open_connections) < 3:
             await asyncio.sleep(0)
         await agent.close()
         return asyncio.all_tasks() - {asyncio.current_task()}
