--- a/brambleplank/emulator/__init__.py
+++ b/brambleplank/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the proxy speaks to; the proxy never imports them."""
+"""Stand-ins for the clients, servers and Consul agents around a proxy. The proxy never imports them."""
--- a/brambleplank/emulator/clients.py
+++ b/brambleplank/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the line protocol that keep a record of each answer they had."""
+"""Stand-in clients of the line protocol that record each answer they receive."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 @dataclass
 class RequestRecord:
-    """What became of one request."""
+    """The answers to one request and the end of its session."""
 
     id: str
     service_type: str
     began_at: float  # Unix time, seconds
-    answers: list[str] = field(default_factory=list)  # final answers: one, if all is well
+    answers: list[str] = field(default_factory=list)  # final answers: exactly one, unless a rule is violated
     answer_delay: float = 0.0  # seconds to the first answer
-    end: str = ""  # how an established flow ended: done, moved, bye or broke
-    echoed_lines: int = 0  # lines that came back
-    is_reconnecting: bool = False  # whether it came again after a move or a break
+    end: str = ""  # how an established session ended: done, moved, bye or broke
+    echoed_lines: int = 0  # lines received back from the server
+    is_reconnecting: bool = False  # whether it reconnects after its first session ended early
 
 
 class Client(asyncio.Protocol):
-    """One client: it opens, exchanges lines for a while, and ends its session."""
+    """One client: sends an OPEN, exchanges lines with the server for a while and ends its session."""
 
     transport: Any
 
@@ -59,13 +59,13 @@
         transport.write(f"OPEN {record.id} {self.key} {fields}\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        """Cuts what came into lines."""
+        """Splits the received data into lines."""
         *lines, self.buffer = (self.buffer + data).split(b"\r\n")
         for line in lines:
             self.line_received(line.decode(errors="replace"))
 
     def line_received(self, line: str) -> None:
-        """Notes an answer, the end of the session, or a line that came back."""
+        """Records an answer, the server's last word before it ends the session, or an echoed line."""
         record = self.record
         if not record.answers:
             record.answer_delay = time.time() - record.began_at
@@ -82,19 +82,19 @@
             record.echoed_lines += 1
 
     def send_line(self) -> None:
-        """Sends a line, and the next one later."""
+        """Sends a line, and the next one after an interval."""
         if not self.transport.is_closing():
             self.transport.write(b"M 1\r\n")
             asyncio.get_running_loop().call_later(LINE_INTERVAL, self.send_line)
 
     def end_session(self) -> None:
-        """Ends the session by itself."""
+        """Ends the session from the client's side."""
         if not self.transport.is_closing() and not self.record.end:
             self.record.end = "done"
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  the base class's argument
-        """Notes how the session ended, and reports the record."""
+        """Records how the session ended, and reports the record."""
         record = self.record
         if record.answers and record.answers[0] == "established" and not record.end:
             record.end = ENDS.get(self.last_word, "broke")
--- a/brambleplank/emulator/consul.py
+++ b/brambleplank/emulator/consul.py
@@ -1,7 +1,8 @@
-"""A stand-in Consul agent on loopback: health of services by blocking queries, and scripted faults.
+"""A stand-in Consul agent on loopback: answers health queries, also blocking ones, and injects faults.
 
-Written from the published HTTP API: `X-Consul-Index`, `index` and `wait`, `X-Consul-KnownLeader`,
-`X-Consul-LastContact`, tokens, 403, 429 and 500. It is slow, torn, behind or gone when its script says so.
+It follows the published HTTP API: `X-Consul-Index`, `index` and `wait`, `X-Consul-KnownLeader`,
+`X-Consul-LastContact`, tokens, 403, 429 and 500. A script can delay or truncate its answers, reset its
+index or stop the agent.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 
 from brambleplank.tables import parse_seconds
 
-MAX_WAIT = 600.0
-MAX_HEAD_SIZE = 16 * 1024
+MAX_WAIT = 600.0  # seconds
+MAX_HEAD_SIZE = 16 * 1024  # bytes
 
 
 @dataclass
 class ServiceInstance:
-    """One server as the catalogue has it."""
+    """One instance of a service in the catalogue."""
 
     id: str
     address: str
@@ -32,7 +33,7 @@
     weights: dict[str, int] | None = None
 
     def health_entry(self) -> dict[str, Any]:
-        """Returns it as a health query answers."""
+        """Returns its entry in the answer to a health query."""
         host, _, port = self.address.rpartition(":")
         checks = [
             {"CheckID": "serfHealth", "Status": "passing"},
@@ -48,7 +49,7 @@
 
 
 class StandInConsul:
-    """One agent; its catalogue may be shared with others, which may lag behind it."""
+    """One agent. Agents may share a catalogue; each has its own index, which may lag behind."""
 
     def __init__(self) -> None:
         self.services: dict[str, dict[str, ServiceInstance]] = {}
@@ -56,30 +57,30 @@
         self.changed_at: dict[str, int] = {}
         self.has_leader = True
         self.last_contact_ms = 0
-        self.token = ""  # the one that it takes; "": any
-        self.next_statuses: list[int] = []  # what the next answers are instead
-        self.truncated_answers = 0  # so many next answers end in the middle
+        self.token = ""  # the token that queries need; empty: any
+        self.next_statuses: list[int] = []  # statuses of the next answers; 200 when empty
+        self.truncated_answers = 0  # how many of the next answers are cut off in the middle
         self.answer_delay = 0.0  # seconds before each answer
         self.answer_count = 0
         self.port = 0
         self.listener: asyncio.Server | None = None
         self.open_connections: set[asyncio.StreamWriter] = set()
-        self.connection_tasks: set[asyncio.Task[Any]] = set()  # one for each connection
+        self.connection_tasks: set[asyncio.Task[Any]] = set()  # one per connection
         self.changed = asyncio.Event()
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address on which it listens."""
         return f"127.0.0.1:{self.port}"
 
     async def listen(self) -> None:
-        """Listens; after a stop, at the same port."""
+        """Starts listening; after a stop, on the same port."""
         self.changed = asyncio.Event()
         self.listener = await asyncio.start_server(self.serve, "127.0.0.1", self.port)
         self.port = self.listener.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
-        """The agent goes: whoever waits loses its connection."""
+        """Stops listening and resets all connections, also those of waiting queries."""
         if self.listener:
             self.listener.close()
             self.listener = None
@@ -88,9 +89,10 @@
         self.changed.set()
 
     async def close(self) -> None:
-        """The agent goes for good. What waits for a change in its catalogue has ended when this returns.
+        """Stops the agent, then cancels the tasks of its connections and waits for their end.
 
-        After `stop` alone, a loop that ends at once would destroy those tasks while they are pending.
+        After `stop` alone, tasks that wait for a change of the catalogue are still pending, and an event loop
+        that ends at once would destroy them.
         """
         self.stop()
         tasks = list(self.connection_tasks)
@@ -99,7 +101,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def update_service(self, service: str, instance: ServiceInstance | None = None, drop: str = "") -> None:
-        """A member is put in, or dropped; whoever waits on the service is answered."""
+        """Adds or replaces an instance, or removes the one named `drop`; then answers waiting queries."""
         instances = self.services.setdefault(service, {})
         if instance:
             instances[instance.id] = instance
@@ -107,7 +109,7 @@
         self.mark_changed(service)
 
     def mark_changed(self, service: str) -> None:
-        """Notes a change of a service; whoever waits on it is answered."""
+        """Advances the index for a changed service, and wakes the queries that wait for a change."""
         self.index += 1
         self.changed_at[service] = self.index
         changed = self.changed
@@ -115,7 +117,7 @@
         changed.set()
 
     def reset_index(self, index: int) -> None:
-        """As a restored or restarted one does: it counts from a lower index."""
+        """Sets the index back, as happens when an agent restarts or is restored from a snapshot."""
         self.index = index
         self.changed_at = dict.fromkeys(self.services, index)
 
@@ -131,13 +133,13 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 await self.answer(head.decode("latin-1"), writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, asyncio.CancelledError):
-            pass  # the client went, or whoever started this ends
+            pass  # the client has disconnected, or the agent is closing
         finally:
             self.open_connections.discard(writer)
             writer.close()
 
     async def answer(self, head: str, writer: asyncio.StreamWriter) -> None:
-        """Answers one query, a blocking one once its service has changed or its time is up."""
+        """Answers one query; a blocking query when its service has changed or its wait time is over."""
         first, *lines = head.split("\r\n")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
         target = urlsplit(first.split(" ")[1])
@@ -156,9 +158,9 @@
     async def wait_for_change(
         self, service: str, query: dict[str, str], writer: asyncio.StreamWriter
     ) -> bool:
-        """Waits until a service has changed since the query's index, or its time is up.
+        """Waits until the service has changed since the query's index, or the wait time is over.
 
-        Returns False if the client has left.
+        Returns False if the client has disconnected.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + min(MAX_WAIT, parse_seconds(query.get("wait", "300s")) or 300.0)
@@ -175,7 +177,7 @@
         return True
 
     async def send(self, status: int, service: str, writer: asyncio.StreamWriter) -> None:
-        """Sends the answer, or half of it."""
+        """Sends the answer, or the first half of it if it is to be truncated."""
         items = [instance.health_entry() for instance in self.services.get(service, {}).values()]
         body = json.dumps(items).encode() if status == 200 else b"no\n"
         head = (
@@ -196,7 +198,7 @@
         await writer.drain()
 
 
-# Scripts: what is done to an agent, and when.
+# Scripts: timed changes to an agent and its catalogue.
 
 STATUSES = ("passing", "warning", "critical")
 MAINTENANCE = ("maintain", "lift")
@@ -221,9 +223,9 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One thing done at one time."""
+    """One step of a script: an action at a time."""
 
-    at: float
+    at: float  # seconds from the start of the script
     action: str
     service: str = ""
     server: str = ""
@@ -231,12 +233,15 @@
 
 
 def parse_script(text: str) -> list[Step]:
-    """The steps of a TOML file of [[step]] tables, in their order. Raises ValueError, naming the step."""
+    """Returns the steps of a TOML text with [[step]] tables, sorted by time.
+
+    Raises ValueError, which names the step, if one is malformed.
+    """
     steps = []
     for n, entry in enumerate(tomllib.loads(text).get("step", []), 1):
         at = parse_seconds(str(entry.get("at", "")))
         if at is None or entry.get("do") not in STEP_ACTIONS:
-            raise ValueError(f"step[{n}]: need at = a time, do = one of {', '.join(STEP_ACTIONS)}")
+            raise ValueError(f"step[{n}]: needs at = a duration and do = one of {', '.join(STEP_ACTIONS)}")
         arguments = {
             key: value for key, value in entry.items() if key not in ("at", "do", "service", "server")
         }
@@ -245,7 +250,7 @@
 
 
 async def run_script(agent: StandInConsul, steps: list[Step]) -> None:
-    """Plays a script from now on."""
+    """Runs a script; its times count from now."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     for step in steps:
@@ -254,7 +259,7 @@
 
 
 async def apply_step(agent: StandInConsul, step: Step) -> None:
-    """Does one step to an agent."""
+    """Applies one step to an agent."""
     instance = agent.services.get(step.service, {}).get(step.server)
     if step.action == "register":
         agent.update_service(step.service, ServiceInstance(step.server, **step.arguments))
@@ -275,7 +280,7 @@
 
 
 def apply_fault(agent: StandInConsul, step: Step) -> None:
-    """Changes how an agent answers."""
+    """Applies a step that changes how an agent answers."""
     if step.action == "go_back":
         agent.reset_index(int(step.arguments.get("index", 1)))
     elif step.action in ("leader", "no_leader"):
--- a/brambleplank/emulator/servers.py
+++ b/brambleplank/emulator/servers.py
@@ -1,6 +1,6 @@
-"""Stand-in servers of the line protocol, many in one process, that keep a record of each OPEN.
+"""Stand-in servers of the line protocol that record each OPEN; one process can run many.
 
-They listen on loopback only, at ports that the kernel chooses.
+They listen on loopback only, on ports that the kernel chooses.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from typing import Any
 
 OPEN_LINE = re.compile(rb"OPEN ([0-9a-fA-F]+) ([0-9a-fA-F]+) (\S+)")
-MAX_LINE_LENGTH = 4096
+MAX_LINE_LENGTH = 4096  # bytes
 
 
 @dataclass(frozen=True)
 class OpenRecord:
-    """One OPEN as a server had it."""
+    """One OPEN as a server received it."""
 
     at: float  # Unix time, seconds
     request_id: str
@@ -26,37 +26,37 @@
 
 
 class StandInServer:
-    """One server: it listens, answers and remembers."""
+    """One server: it listens, answers and records each OPEN."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.open_reply = b"UP"  # the word it answers an OPEN with; b"" for silence
-        self.reply_delay = 0.0  # seconds it takes for that
+        self.open_reply = b"UP"  # its reply to an OPEN (UP gets an argument); empty: no reply
+        self.reply_delay = 0.0  # seconds before that reply
         self.open_records: list[OpenRecord] = []
         self.connections: set[ServerConnection] = set()
         self.listener: asyncio.Server | None = None
         self.port = 0
 
     async def listen(self) -> None:
-        """Listens, after the first time at the same port."""
+        """Starts listening; after a restart, on the same port."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(lambda: ServerConnection(self), "127.0.0.1", self.port)
         self.port = self.listener.sockets[0].getsockname()[1]
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address on which it listens."""
         return f"127.0.0.1:{self.port}"
 
     def kill(self) -> None:
-        """Behaves as if its process had died: connections are reset, and nobody listens."""
+        """Behaves as if its process had been killed: resets its connections and stops listening."""
         if self.listener:
             self.listener.close()
         for each in list(self.connections):
             each.transport.abort()
 
     def shut_down(self) -> None:
-        """Ends as a drained server does: sessions get BYE, and nobody listens."""
+        """Shuts down as a drained server does: ends its sessions with BYE and stops listening."""
         if self.listener:
             self.listener.close()
         for each in list(self.connections):
@@ -66,7 +66,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection to a stand-in."""
+    """One connection to a stand-in server."""
 
     transport: Any
 
@@ -76,16 +76,16 @@
         self.is_established = False
 
     def connection_made(self, transport: Any) -> None:
-        """Notes the connection."""
+        """Adds the connection to those of the server."""
         self.transport = transport
         self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  the base class's argument
-        """Forgets the connection."""
+        """Removes the connection from those of the server."""
         self.server.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Cuts what came into lines; a line without end breaks the connection."""
+        """Splits the received data into lines; resets the connection if an unfinished line is too long."""
         *lines, self.buffer = (self.buffer + data).split(b"\r\n")
         for line in lines:
             self.line_received(line)
@@ -93,7 +93,7 @@
             self.transport.abort()
 
     def line_received(self, line: bytes) -> None:
-        """Answers a probe or an OPEN, and sends the lines of a session back."""
+        """Answers a probe or an OPEN, and echoes the lines of a session."""
         if self.is_established:
             self.send_line(line)
         elif line == b"PING":
@@ -111,7 +111,7 @@
             self.transport.close()
 
     def reply_to_open(self) -> None:
-        """Answers the OPEN, unless its client has left."""
+        """Replies to the OPEN, unless the connection is closing."""
         if self.transport.is_closing():
             return
         word = self.server.open_reply
--- a/brambleplank/emulator/trial.py
+++ b/brambleplank/emulator/trial.py
@@ -1,6 +1,7 @@
-"""A first look: a sidecar, four stand-in servers, requests of each service type; one server drains, one dies.
+"""The trial of `brambleplank try`: a sidecar under load, with one server that drains and one that is killed.
 
-The report at the end rests on the clients' and the servers' own records alone.
+Four stand-in servers answer requests of each service type. The report relies on the records of the clients
+and servers and on the sidecar's exit code, not on its log.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
 from brambleplank.sidecar.shapes import Servers as ServersFile
 from brambleplank.tables import Seconds
 
-CLIENT_DEADLINE = 1.8  # seconds that a client waits for its answer
+CLIENT_DEADLINE = 1.8  # seconds
 TIMING_TOLERANCE = 0.05  # seconds that sockets may add to a limit
-SESSION_TIME_RANGE = (0.5, 3.0)  # seconds that a flow stands
-START_TIMEOUT = 15.0
-STOP_TIMEOUT = 10.0
+SESSION_TIME_RANGE = (0.5, 3.0)  # seconds, shortest and longest
+START_TIMEOUT = 15.0  # seconds
+STOP_TIMEOUT = 10.0  # seconds
 DRAIN_WINDOW = 1.0  # seconds
 SERVICE_TYPES = [
     ServiceType("map-views", "repeatable", Seconds(0.3), Seconds(CLIENT_DEADLINE)),
@@ -40,7 +41,7 @@
 
 
 class Trial:
-    """One run: servers, a sidecar, clients, and the report."""
+    """One run of the servers, the sidecar and the clients, with its report."""
 
     def __init__(self, folder: Path, seconds: float, rate: int, write_line: Callable[[str], object]) -> None:
         self.folder = folder
@@ -57,7 +58,7 @@
         self.log = folder / "sidecar.log"
 
     async def run(self) -> int:
-        """Returns the exit code: 1 if a rule was broken, 2 if the sidecar did not start."""
+        """Runs the trial. Returns the exit code: 1 if a rule was violated, 2 if the sidecar did not start."""
         for server in self.servers:
             await server.listen()
         self.write_servers()
@@ -89,7 +90,7 @@
         return self.report(exit_code)
 
     async def wait_until_ready(self, sidecar: asyncio.subprocess.Process) -> bool:
-        """Whether the sidecar says in time that it is ready."""
+        """Returns whether the sidecar logs in time that it is ready."""
         deadline = time.monotonic() + START_TIMEOUT
         while time.monotonic() < deadline and sidecar.returncode is None:
             if "ready: " in self.log.read_text():
@@ -98,7 +99,7 @@
         return False
 
     def write_servers(self) -> None:
-        """Replaces the file of servers."""
+        """Replaces the server file."""
         writer.replace(
             self.folder / "trial.servers.toml",
             writer.servers_text(
@@ -111,13 +112,13 @@
         )
 
     async def run_load(self) -> None:
-        """Plays clients all the time; a quarter in, feed1 drains; half in, feed2 dies; then feed1 is gone."""
+        """Starts clients at a constant rate, and meanwhile drains feed1, kills feed2 and removes feed1."""
         started = time.monotonic()
         sent = 0
         events = [
             (0.25, "feed1 drains", self.begin_drain),
-            (0.5, "feed2 dies", self.kill_server),
-            (0.75, "feed1 is gone", self.remove_drained),
+            (0.5, "feed2 is killed", self.kill_server),
+            (0.75, "feed1 is removed", self.remove_drained),
         ]
         while (now := time.monotonic() - started) < self.seconds:
             while events and now >= events[0][0] * self.seconds:
@@ -127,26 +128,26 @@
                 self.start_client(SERVICE_TYPES[sent % len(SERVICE_TYPES)].name)
                 sent += 1
             await asyncio.sleep(0.005)
-        self.write_line(f"{self.seconds:5.1f} s  the sidecar is told to leave")
+        self.write_line(f"{self.seconds:5.1f} s  the sidecar is asked to shut down")
 
     def begin_drain(self) -> None:
-        """The first server drains."""
+        """Lists the first server as draining."""
         self.states["feed1"] = "draining"
         self.write_servers()
         self.drained_at = time.time()
 
     def kill_server(self) -> None:
-        """The second server dies."""
+        """Kills the second server."""
         self.servers[1].kill()
 
     def remove_drained(self) -> None:
-        """The drained server ends."""
+        """Removes the drained server from the list and shuts it down."""
         self.states["feed1"] = "gone"
         self.write_servers()
         self.servers[0].shut_down()
 
     def start_client(self, service_type: str, is_reconnecting: bool = False) -> None:
-        """Starts a client; one whose session was moved or broke starts again once."""
+        """Starts a client with a new request."""
         record = RequestRecord(
             f"{self.rng.getrandbits(64):016x}", service_type, time.time(), is_reconnecting=is_reconnecting
         )
@@ -163,17 +164,17 @@
         task.add_done_callback(self.tasks.discard)
 
     async def connect(self, client: Client) -> None:
-        """Connects a client, if the sidecar listens."""
+        """Connects a client; does nothing if the sidecar doesn't listen."""
         with suppress(OSError):
             await asyncio.get_running_loop().create_unix_connection(lambda: client, str(self.socket))
 
     def client_finished(self, record: RequestRecord) -> None:
-        """Lets a client whose session was moved or broke come again."""
+        """Starts a reconnecting client, once, if the session was moved, ended by its server or broke."""
         if record.end in ("moved", "broke", "bye") and not record.is_reconnecting and self.socket.exists():
             self.start_client(record.service_type, is_reconnecting=True)
 
     def report(self, exit_code: int) -> int:
-        """Prints what became of all requests, and whether the rules were kept; returns the exit code."""
+        """Prints the outcomes by service type and the violations found. Returns the exit code."""
         self.write_line(
             f"\n{'service type':14}{'flows':>7}"
             + "".join(f"{word:>13}" for word in ANSWERS)
@@ -204,7 +205,7 @@
         return 1 if violations else 0
 
     def find_violations(self, exit_code: int) -> list[str]:
-        """Returns what the records have against the four rules and the sidecar's own end."""
+        """Checks the records against the four rules, and the sidecar's exit code. Returns the violations."""
         violations = []
         if exit_code:
             violations.append(f"the sidecar ended with {exit_code}")
@@ -227,15 +228,16 @@
             last = max(after, default=0.0)
             when = f"{last:.2f} s after" if last > 0 else "before"
             self.write_line(
-                f"feed1 had its last new flow {when} the list told of its drain ({DRAIN_WINDOW} s: allowed)"
+                f"feed1 received its last new flow {when} the list reported its drain"
+                f" (allowed: {DRAIN_WINDOW} s)"
             )
             if last > DRAIN_WINDOW + TIMING_TOLERANCE:
-                violations.append("the drain was not kept")
+                violations.append("feed1 received new flows after its drain window")
         return violations
 
 
 def main(seconds: float, rate: int, keep: str | None, write_line: Callable[[str], object]) -> int:
-    """Plays it in a folder of its own, or in the one to keep."""
+    """Runs the trial in a temporary folder, or in the folder `keep`. Returns the exit code."""
     if keep:
         Path(keep).mkdir(parents=True, exist_ok=True)
         return asyncio.run(Trial(Path(keep).resolve(), seconds, rate, write_line).run())
