--- a/tests/client_load.py
+++ b/tests/client_load.py
@@ -12,7 +12,7 @@
 from tests.stand_ins import LineConnection
 
 CLIENT_TIMEOUT = 2.0  # seconds to connect, and to each answer
-PAUSE = 0.01  # seconds between two clients
+CLIENT_INTERVAL = 0.01  # seconds between two clients
 
 
 @dataclass
@@ -48,7 +48,7 @@
                 self.outcomes.append(outcome)
                 if outcome.connection:
                     outcome.connection.socket.close()
-            pause.wait(PAUSE)
+            pause.wait(CLIENT_INTERVAL)
 
     def stop(self) -> list[RequestOutcome]:
         """Stops the thread and returns all outcomes."""
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -43,14 +43,14 @@
     assert code == 0 and replies[-1] == []
 
 
-def test_reused_list_number_means_the_newest_list() -> None:
+def test_reused_list_number_refers_to_the_newest_list() -> None:
     other = ["TABLE", 0, [["10.0.0.2:80", "a", "m", 0, "IN", 1, None]]]
     _, replies, _ = run([*START, other, ["ROSTER_CHANGE", "proxy/0", "FULL", 2, 0], REQUEST])
     assert "10.0.0.2:80" in [a[3] for a in replies[0] if a[0] == "DELIVER"]
 
 
 @pytest.mark.parametrize(
-    ("line", "named"),
+    ("line", "expected_text"),
     [
         ("{", "not JSON"),
         ("[]", "t_us"),
@@ -69,9 +69,9 @@
         (json.dumps({"t_us": 1, "news": [[*REQUEST[:5], "seven", *REQUEST[6:]]]}), "seven"),
     ],
 )
-def test_malformed_input_is_named_on_stderr_and_ends_the_process(line: str, named: str) -> None:
+def test_malformed_input_ends_the_process_with_an_error_that_names_it(line: str, expected_text: str) -> None:
     code, replies, errors = run(START, line)
-    assert code != 0 and named in errors and "Traceback" not in errors and len(replies) == 1
+    assert code != 0 and expected_text in errors and "Traceback" not in errors and len(replies) == 1
 
 
 def test_exception_in_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -87,7 +87,7 @@
     assert (code, errors, [a for a in replies[0] if a[0] == "DELIVER"]) == (0, "", [])
 
 
-def test_proxy_beyond_the_count_with_an_empty_list_answers() -> None:
+def test_proxy_with_a_number_beyond_the_proxy_count_and_an_empty_list_rejects() -> None:
     start = [["ENLIST", "proxy/0", 1, {**PLATFORM_SETTINGS, "slot_no": 9}], ["TABLE", 0, []], START[2]]
     code, replies, _ = run([*start, REQUEST])
     assert code == 0 and [a[0] for a in replies[0]][-1] == "BUSY"
