--- a/tests/client_load.py
+++ b/tests/client_load.py
@@ -1,4 +1,4 @@
-"""Clients of a process of a fleet, and what each of them saw."""
+"""Generates client load on a process of a fleet and records the outcome of each request."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from tests.process_fleet import MemberProcess
 from tests.stand_ins import LineConnection
 
-CLIENT_TIMEOUT = 2.0  # seconds to connect, and to each answer
-CLIENT_INTERVAL = 0.01  # seconds between two clients
+CLIENT_TIMEOUT = 2.0  # seconds, for connecting and for each read
+CLIENT_INTERVAL = 0.01  # seconds between the end of one client and the start of the next
 
 
 @dataclass
 class RequestOutcome:
-    """What a client saw of one request. Without a connection it was rejected. Times are monotonic."""
+    """The outcome of one request; without a connection, it was rejected. Times are monotonic."""
 
     sent_at: float
     answered_at: float
@@ -28,7 +28,7 @@
 
 @dataclass
 class ClientLoad:
-    """Clients that request one after another of one process and leave once answered; in a thread."""
+    """A thread that runs one client after another against a process; each disconnects once answered."""
 
     member: MemberProcess
     extra_fields: str = ""
@@ -40,7 +40,7 @@
         self.thread.start()
 
     def run(self) -> None:
-        """Plays one client after another until it is stopped."""
+        """Runs one client after another until `stop`."""
         pause = threading.Event()
         while not self.stopping:
             outcome = send_request(self.member, self.extra_fields)
@@ -64,7 +64,10 @@
     fields: str = ",t=acme",
     key: int | None = None,
 ) -> RequestOutcome | None:
-    """Plays one client. Returns None if nobody answered, as the process was ended or suspended."""
+    """Sends the request of one client.
+
+    Returns None if it was neither established nor rejected, as when the process is killed or suspended.
+    """
     sent_at = time.monotonic()
     try:
         with suppress(AttributeError):
@@ -86,7 +89,10 @@
 
 
 def most_served_within(outcomes: list[RequestOutcome], window: float) -> int:
-    """Returns the most served requests that lie wholly in a window; others may be of the next one."""
+    """Returns the largest number of served requests that were sent and answered within one window.
+
+    A request that is answered after the window may count in the next one.
+    """
     served = sorted((each for each in outcomes if each.connection), key=lambda each: each.sent_at)
     return max(
         (
@@ -101,7 +107,7 @@
 
 
 def most_concurrent(outcomes: list[RequestOutcome]) -> int:
-    """Returns the most sessions that were certainly open at one instant."""
+    """Returns the largest number of sessions that were certainly open at the same time."""
     served = [each for each in outcomes if each.connection]
     edges = sorted([(each.answered_at, 1) for each in served] + [(each.ended_at, -1) for each in served])
     count = 0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that the tests share."""
+"""Shared fixtures and the Hypothesis profile."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.fake_host import FakeHost
 from tests.programs import Program, Sidecar, UnixSidecar, program_factory
 
-settings.register_profile("same", derandomize=True, deadline=None)  # the same verdict every time
-settings.load_profile("same")
+settings.register_profile("deterministic", derandomize=True, deadline=None)  # same examples in every run
+settings.load_profile("deterministic")
 
 
 @pytest.fixture
@@ -23,17 +23,17 @@
 
 @pytest.fixture
 def start_program(tmp_path: Path) -> Iterator[Callable[..., Program]]:
-    """Programs as the platform starts them."""
+    """Yields a function that starts programs as the platform does."""
     yield from program_factory(tmp_path, Program)
 
 
 @pytest.fixture(params=[Program, Sidecar], ids=["platform", "sidecar"])
 def start_each_kind(tmp_path: Path, request: pytest.FixtureRequest) -> Iterator[Callable[..., Program]]:
-    """Programs, in turn as the platform starts them and as a sidecar."""
+    """Yields a function that starts programs: in one run as the platform does, in another as sidecars."""
     yield from program_factory(tmp_path, request.param)
 
 
 @pytest.fixture(params=[Sidecar, UnixSidecar], ids=["address", "socket"])
 def start_sidecar(tmp_path: Path, request: pytest.FixtureRequest) -> Iterator[Callable[..., Sidecar]]:
-    """Sidecars, in turn at an address and on a Unix socket."""
+    """Yields a function that starts sidecars: in one run at a TCP address, in another on a Unix socket."""
     yield from program_factory(tmp_path, request.param)
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -1,4 +1,4 @@
-"""The real program as a process: as the platform starts it, or as a sidecar."""
+"""Runs the real program as a process, as the platform starts it or as a sidecar."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 PLATFORM_CODE = "from brambleplank.platform.run import main\nsys.exit(main())"
 SIDECAR_CODE = "from brambleplank.sidecar.run import main\nsys.exit(main({!r}, {!r}))"
-OWN_VARIABLES = ("ROUTER_", "BRAMBLEPLANK_")  # prefixes of variables that the program reads
+OWN_VARIABLES = ("ROUTER_", "BRAMBLEPLANK_")  # prefixes of environment variables that the program reads
 
 
 def start_process(config: Path | None, code: str = "", log: Any = subprocess.PIPE) -> subprocess.Popen[str]:
-    """Starts the program, or Python code in its place; `log` takes its standard error."""
+    """Starts the program, or the Python `code` instead. Standard error goes to `log`."""
     environment = {name: value for name, value in os.environ.items() if not name.startswith(OWN_VARIABLES)}
     if config:
         environment["ROUTER_CONFIG"] = str(config)
@@ -38,9 +38,10 @@
 
 
 class Program:
-    """The real program, started as the platform does, with a stand-in for discovery.
+    """The real program, started as the platform starts it, with a stand-in for discovery.
 
-    `patch` is code that runs ahead of it. `successors` are the next processes of the same proxy.
+    `patch` is Python code that runs before the program. `successors` are later processes of the same proxy,
+    started by `upgrade`.
     """
 
     def __init__(self, folder: Path, known: dict[str, Any], patch: str = "", **changes: Any) -> None:
@@ -71,18 +72,20 @@
         )
 
     def send_endpoints(self, **hosts: Any) -> None:
-        """Sends a whole endpoint list through discovery."""
+        """Sends a complete endpoint list through discovery."""
         if not hasattr(self, "endpoint_watch"):
             self.endpoint_watch = self.discovery.accept_watch()[1]
             self.list_version = 100
-        while self.endpoint_watch.is_closed():  # it was silent for too long, on a busy machine
+        while (
+            self.endpoint_watch.is_closed()
+        ):  # on a busy machine, the program replaces a watch that was silent for too long
             self.endpoint_watch = self.discovery.accept_watch()[1]
         self.list_version += 1
         text = json.dumps(endpoint_list(self.list_version, True, **hosts))
         StandInDiscovery.send_text(self.endpoint_watch, text)
 
     def connect(self, line: str = "") -> LineConnection:
-        """Returns a client's connection, once the program listens; sends a first line if there is one."""
+        """Connects a client, retrying until the program listens, and sends the line if it is not empty."""
         end = time.monotonic() + TEST_TIMEOUT
         while True:
             try:
@@ -113,13 +116,13 @@
         traffic_class: str = "feed",
         extra_fields: str = "",
     ) -> LineConnection:
-        """Returns the connection of a new client that has sent its OPEN."""
+        """Connects a new client, sends its OPEN and returns the connection."""
         number = next(self.request_numbers)
         fields = f"c={traffic_class},t=acme,d={deadline_ms}{extra_fields}"
         return self.connect(f"OPEN 9b1f03aa5c7e{number:04x} {key} {fields}")
 
     def upgrade(self, patch: str = "", **changes: Any) -> Program:
-        """Returns the next process of the same proxy, with an address of its own for operators."""
+        """Starts the next process of the same proxy, which has its own operator address, and returns it."""
         successor = copy.copy(self)
         self.successors.append(successor)
         successor.config = {**self.config, "mgmt": ":".join(map(str, unused_address())), **changes}
@@ -130,14 +133,14 @@
         return successor
 
     def reload(self, text: str = "", **changes: Any) -> str:
-        """Returns the log line that answers SIGHUP, with a changed file, or with `text` in its place."""
+        """Writes the changed configuration or `text`, sends SIGHUP and returns the log line of the reload."""
         self.config.update(changes)
         self.config_path.write_text(text or json.dumps(self.config))
         self.process.send_signal(signal.SIGHUP)
         return self.next_log_line("reload: ")
 
     def next_log_line(self, word: str) -> str:
-        """Returns the next line of its log that holds the word; those before it are kept."""
+        """Waits for the next log line that contains `word` and returns it. Keeps the lines before it."""
         assert self.process.stderr
         while word not in (self.log_lines or [""])[-1]:
             self.log_lines.append(self.process.stderr.readline())
@@ -147,12 +150,12 @@
         return found
 
     def remaining_log(self) -> str:
-        """Waits for its end and returns all that it has written."""
+        """Waits for the process to exit and returns its whole log."""
         self.log_lines.append(self.process.communicate(timeout=TEST_TIMEOUT)[1])
         return "".join(self.log_lines)
 
     def kept_log(self) -> str:
-        """Returns all that it has written so far; does not wait, as its children may hold the pipe open."""
+        """Returns the log so far. Does not wait for its end, as child processes may keep the pipe open."""
         log = self.process.stderr
         if log is not None and not log.closed:
             os.set_blocking(log.fileno(), False)
@@ -160,13 +163,13 @@
         return "".join(self.log_lines)
 
     def stop(self) -> str:
-        """Ends it by SIGTERM and returns its log."""
+        """Stops the process with SIGTERM and returns its log."""
         self.process.send_signal(signal.SIGTERM)
         return self.remaining_log()
 
 
 class Sidecar(Program):
-    """The program beside an application; its files are made from the platform's configuration."""
+    """The program as a sidecar; its files are derived from the platform's configuration."""
 
     def __init__(
         self, folder: Path, known: dict[str, Any], command: tuple[str, ...] = (), **more: Any
@@ -175,7 +178,7 @@
         super().__init__(folder, known, **more)
 
     def launch(self, folder: Path, patch: str) -> None:
-        """Writes its files and starts the process."""
+        """Writes the files and starts the process."""
         self.config_path = folder / "maps.toml"
         self.servers_path = folder / "maps.servers.toml"
         file = writer.from_platform(self.config)
@@ -191,16 +194,16 @@
         self.process = start_process(None, f"import sys\n{patch}\n{code}")
 
     def write_file(self) -> None:
-        """Replaces its file as a whole."""
+        """Replaces the sidecar file atomically."""
         writer.replace(self.config_path, writer.text(self.file))
 
     def send_endpoints(self, **hosts: Any) -> None:
-        """Replaces its file of servers."""
+        """Replaces the server file."""
         file = writer.from_platform({**self.config, "known": endpoint_list(1, True, **hosts)})
         writer.replace(self.servers_path, writer.servers_text(file.server))
 
-    def reload(self, text: str = "", **changes: Any) -> str:  # noqa: ARG002  a sidecar's file is changed by `file`
-        """Returns the log line that answers SIGHUP, with the file as it is, or with `text` in its place."""
+    def reload(self, text: str = "", **changes: Any) -> str:  # noqa: ARG002  tests change a sidecar's `file` instead
+        """Replaces the file if there is a `text`; sends SIGHUP and returns the log line of the reload."""
         if text:
             self.config_path.write_text(text)
         self.process.send_signal(signal.SIGHUP)
@@ -211,7 +214,7 @@
     """A sidecar on a Unix socket."""
 
     def launch(self, folder: Path, patch: str) -> None:
-        """Chooses the socket's path, then starts as any sidecar."""
+        """Sets the socket path and starts the sidecar."""
         self.socket_path = str(folder / "b.sock")
         super().launch(folder, patch)
 
@@ -220,7 +223,7 @@
 
 
 def program_factory(folder: Path, kind: type[Program]) -> Iterator[Callable[..., Any]]:
-    """Yields a function that starts programs; kills those that a failed test left running."""
+    """Yields a function that starts programs; at the end kills all of them, with their successors."""
     programs: list[Program] = []
 
     def start(known: dict[str, Any], **changes: Any) -> Program:
@@ -231,4 +234,4 @@
     for program in [each for first in programs for each in (first, *first.successors)]:
         program.process.kill()
         program.process.wait()
-        print(program.kept_log(), end="")  # pytest shows it beside a failure
+        print(program.kept_log(), end="")  # pytest shows it with a failure
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""A relay of datagrams on every link between two processes of a fleet, which can lose, delay and cut them."""
+"""A relay for the datagrams of a fleet's processes that can cut links and lose, repeat or delay datagrams."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class DatagramRelay(threading.Thread):
-    """Carries datagrams between members; each receiver sees the sender under the address it knows it by.
+    """Relays datagrams between members; each receiver gets them from the address that it has for the sender.
 
-    `severed_links` holds pairs of sender and receiver. `loss` and `duplication` are shares of datagrams and
-    `max_delay` is in seconds, for all links.
+    `severed_links` holds pairs of sender and receiver. `loss` and `duplication` are fractions of all
+    datagrams and `max_delay` is in seconds; all three apply to every link.
     """
 
     def __init__(self, members: int) -> None:
@@ -31,7 +31,7 @@
         self.datagram_count = 0
         self.rng = Random(1)
         self.member_addresses = [unused_udp_address() for _ in range(members)]
-        # The socket at [member][other] has the address by which the member knows the other.
+        # The socket at [member][other] has the address that the member has for the other.
         self.peer_sockets = [[udp_socket() for _ in range(members)] for _ in range(members)]
         self.broadcast_sockets = [udp_socket() for _ in range(members)]
         self.selector = selectors.DefaultSelector()
@@ -41,17 +41,19 @@
                 self.selector.register(
                     self.peer_sockets[member][other], selectors.EVENT_READ, (member, other)
                 )
-        self.in_flight: list[tuple[float, int, int, int, bytes]] = []  # due, number, sender, receiver, data
+        self.in_flight: list[
+            tuple[float, int, int, int, bytes]
+        ] = []  # due time, sequence number, sender, receiver, data
         self.stopping = False
         self.start()
 
     def peer_addresses(self, member: int) -> tuple[list[str], str]:
-        """Returns the addresses of each peer, and of all, as a member's configuration has them."""
+        """Returns the peer addresses and the broadcast address for a member's configuration."""
         peers = [address_text(peer) for peer in self.peer_sockets[member]]
         return peers, address_text(self.broadcast_sockets[member])
 
     def run(self) -> None:
-        """Forwards until it is closed."""
+        """Forwards datagrams until `close`."""
         while not self.stopping:
             now = time.monotonic()
             while self.in_flight and self.in_flight[0][0] <= now:
@@ -67,7 +69,7 @@
                             self.forward(sender, receiver, data)
 
     def forward(self, sender: int, receiver: int, data: bytes) -> None:
-        """Puts a datagram on its way, unless its link is cut or it is lost."""
+        """Queues a datagram, perhaps twice, for a random delay; drops it if its link is cut or by chance."""
         for _ in range(1 + (self.rng.random() < self.duplication)):
             if (sender, receiver) in self.severed_links or self.rng.random() < self.loss:
                 continue
@@ -76,12 +78,12 @@
             heapq.heappush(self.in_flight, (due, self.datagram_count, sender, receiver, data))
 
     def partition(self, group: set[int]) -> None:
-        """Cuts every link between the group and all others."""
+        """Cuts every link between the group and the other members."""
         others = set(range(len(self.member_addresses))) - group
         self.severed_links |= {pair for a in group for b in others for pair in ((a, b), (b, a))}
 
     def send_as(self, sender: int, receiver: int, data: bytes) -> None:
-        """Sends a datagram in the name of a member."""
+        """Sends a datagram from the address that the receiver has for the sender."""
         self.peer_sockets[receiver][sender].sendto(data, self.member_addresses[receiver])
 
     def close(self) -> None:
--- a/tests/test_consul_stand_in.py
+++ b/tests/test_consul_stand_in.py
@@ -1,4 +1,4 @@
-"""The stand-in agent that plays scripts of a Consul."""
+"""The stand-in Consul agent and its scripts."""
 
 from __future__ import annotations
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Batches of the simulator's wire through the real adapter process."""
+"""Runs the simulator's adapter as a process and sends it batches of events."""
 
 from __future__ import annotations
 
