--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -23,12 +23,12 @@
 )
 from benchmarks.fleet_logs import FleetLog, read_fleet
 
-ZERO = 1_700_000_000.0
+START_TIME = 1_700_000_000.0
 PING = "end pinged - server=- connects=0 age=0.000"
 
 
 def log_of(*lines: tuple[float, str]) -> str:
-    return "".join(f"{at:.3f} {ZERO + at:.3f} {text}\n" for at, text in lines)
+    return "".join(f"{at:.3f} {START_TIME + at:.3f} {text}\n" for at, text in lines)
 
 
 def end(code: str, request_id: str, attempts: int, age: float, server: str = "s-1") -> str:
@@ -36,7 +36,7 @@
 
 
 # Restarted at 6.0; its gate narrows twice in its first run (counted once) and is narrow up to its end.
-FIRST = log_of(
+FIRST_LOG = log_of(
     (0.1, PING),
     (2.5, end("bye", "aa", 1, 2.0)),
     (3.2, end("moved", "ab", 3, 0.9)),
@@ -55,7 +55,7 @@
     (9.6, "log: 7 lines dropped"),
 )
 # Killed between 5.0 and 7.0: only the second ping tells.
-SECOND = log_of(
+SECOND_LOG = log_of(
     (0.2, PING),
     (1.0, "concurrency limit below one: most attempts fail at every server"),
     (2.0, "concurrency limit at one again: attempts are answered"),
@@ -69,8 +69,8 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    (tmp_path / "n1.log").write_text(FIRST)
-    (tmp_path / "n2.log").write_text(SECOND + "half a li")
+    (tmp_path / "n1.log").write_text(FIRST_LOG)
+    (tmp_path / "n2.log").write_text(SECOND_LOG + "half a li")
     return tmp_path
 
 
@@ -90,12 +90,12 @@
 def test_runs_begin_after_a_stop_or_at_a_second_ping(log: FleetLog) -> None:
     runs = [(run.process, run.number) for run in log.runs]
     assert runs == [("n1", 0), ("n1", 1), ("n2", 0), ("n2", 1)]
-    assert [run.began - ZERO for run in log.runs] == pytest.approx([0.1, 6.0, 0.2, 7.0])
-    assert [run.ended - ZERO for run in log.runs if run.ended] == pytest.approx([4.8, 7.0])
+    assert [run.began - START_TIME for run in log.runs] == pytest.approx([0.1, 6.0, 0.2, 7.0])
+    assert [run.ended - START_TIME for run in log.runs if run.ended] == pytest.approx([4.8, 7.0])
     assert [run.ended is None for run in log.runs] == [False, True, False, True]
 
 
-def test_a_request_counts_as_it_came_and_its_end_as_it_ended(log: FleetLog) -> None:
+def test_requests_count_when_received_and_ends_when_they_ended(log: FleetLog) -> None:
     rows = by_second(log)
     assert counts(rows["  0"]) == {"asked": 1, "established": 1, "attempts": 1}
     assert counts(rows["  2"]) == {
@@ -113,9 +113,9 @@
     assert counts(rows["  5"]) == {"ended": 1, "lost": 1}
 
 
-def test_connections_that_bring_no_request_are_not_asked_for(log: FleetLog) -> None:
-    asked = sum(row["asked"] for row in by_second(log).values())
-    assert asked == sum(each.request_id != "-" for each in log.ends) == 9
+def test_connections_without_a_request_are_not_counted_as_requests(log: FleetLog) -> None:
+    request_count = sum(row["asked"] for row in by_second(log).values())
+    assert request_count == sum(request_end.request_id != "-" for request_end in log.ends) == 9
 
 
 def test_gates_and_processes_are_counted_at_the_end_of_a_second(log: FleetLog) -> None:
@@ -134,21 +134,21 @@
     }
 
 
-def test_a_reject_gets_the_state_of_its_process_as_reason(log: FleetLog) -> None:
-    reasons = {each.request_id: reason_of(each) for each in log.ends}
+def test_rejects_get_the_state_of_their_process_as_reason(log: FleetLog) -> None:
+    reasons = {request_end.request_id: reason_of(request_end) for request_end in log.ends}
     assert reasons["ac"] == "rejected, no try, gate narrow"
     assert reasons["ad"] == "rejected, tried, gate narrow"
     assert reasons["ae"] == "rejected, no try, gate open"
     assert reasons["bc"] == "broke"
 
 
-def test_rejects_while_stopping_are_told_apart(tmp_path: Path) -> None:
+def test_rejects_during_shutdown_have_their_own_reason(tmp_path: Path) -> None:
     stopping = log_of((0.1, PING), (1.0, "shutdown: requested"), (1.2, end("rejected", "aa", 1, 0.5)))
     (tmp_path / "n1.log").write_text(stopping)
     assert reason_of(read_fleet(tmp_path).ends[-1]) == "rejected, tried, stopping"
 
 
-def test_process_ages_are_told_apart(log: FleetLog) -> None:
+def test_requests_are_grouped_by_process_age(log: FleetLog) -> None:
     rows = count(happenings(log), Grouping(log, 3.0).age)
     assert {age: row["asked"] for age, row in rows.items()} == {
         "not restarted": 7,
@@ -157,25 +157,25 @@
     }
 
 
-def test_what_is_missing_is_said(log: FleetLog) -> None:
-    said = "\n".join(foot(log))
-    assert "2 processes, 2 restarts" in said
-    assert "7 lines dropped by processes, 1 of no known form" in said
-    assert "service type, tenant and key" in said
+def test_footer_names_what_the_logs_lack(log: FleetLog) -> None:
+    footer = "\n".join(foot(log))
+    assert "2 processes, 2 restarts" in footer
+    assert "7 lines dropped by processes, 1 of no known form" in footer
+    assert "service type, tenant and key" in footer
 
 
-def test_a_request_is_followed_by_its_id(log: FleetLog) -> None:
+def test_request_is_followed_by_its_id(log: FleetLog) -> None:
     assert follow(log, "ad") == ["   3.900     n1 " + end("rejected", "ad", 2, 1.0)]
     assert follow(log, "a") == []
 
 
-TRACED_FIRST = log_of(
+TRACED_FIRST_LOG = log_of(
     (0.1, PING),
     (1.0, "trace request aa type=level key=77 tenant=west wait=0.500 again=0"),
     (1.2, "trace attempt aa number=0 server=s-1 result=timeout delay=0.150"),
     (1.5, end("rejected", "aa", 1, 0.5)),
 )
-TRACED_SECOND = log_of(
+TRACED_SECOND_LOG = log_of(
     (0.1, PING),
     (2.0, "trace request ba type=level key=77 tenant=west wait=0.500 again=0"),
     (2.1, "trace attempt ba number=0 server=s-2 result=established delay=0.050"),
@@ -187,8 +187,8 @@
 
 @pytest.fixture
 def traced(tmp_path: Path) -> FleetLog:
-    (tmp_path / "n1.log").write_text(TRACED_FIRST)
-    (tmp_path / "n2.log").write_text(TRACED_SECOND)
+    (tmp_path / "n1.log").write_text(TRACED_FIRST_LOG)
+    (tmp_path / "n2.log").write_text(TRACED_SECOND_LOG)
     return read_fleet(tmp_path)
 
 
@@ -206,7 +206,7 @@
     assert len(list(tables(traced, Grouping(traced, 3.0), "second", "type"))) == 3
 
 
-def test_a_client_that_comes_again_is_followed_through_all_processes(traced: FleetLog) -> None:
+def test_reconnecting_client_is_followed_across_processes(traced: FleetLog) -> None:
     followed = follow(traced, "ba")
     assert [line.split()[1:5] for line in followed] == [
         ["n1", "trace", "request", "aa"],
@@ -223,14 +223,16 @@
     return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
 
 
-def test_the_command_line_prints_tables_and_refuses_what_is_no_folder(folder: Path) -> None:
+def test_command_line_prints_tables_and_refuses_a_path_that_is_no_folder(folder: Path) -> None:
     for by in ("second", "age", "type", "server", "process", "reason"):
-        done = run_tool(folder, "--by", by)
-        assert done.returncode == 0 and done.stdout.splitlines()[0].split()[:2] == [by, "asked"], done.stderr
+        completed = run_tool(folder, "--by", by)
+        assert completed.returncode == 0 and completed.stdout.splitlines()[0].split()[:2] == [by, "asked"], (
+            completed.stderr
+        )
     refused = run_tool(folder / "none")
     assert refused.returncode == 2 and len(refused.stderr.splitlines()) == 1
 
 
-def test_the_command_line_refuses_logs_with_no_line(tmp_path: Path) -> None:
+def test_command_line_refuses_a_folder_without_log_lines(tmp_path: Path) -> None:
     refused = run_tool(tmp_path)
     assert refused.returncode == 2 and "no line of a process" in refused.stderr
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -38,12 +38,12 @@
 from tests.test_check import GOOD
 
 PROCESSES = SERVERS = 1024
-TURN = 0.1  # seconds between two turns of a member
+TICK_INTERVAL = 0.1  # seconds between two turns of a member
 NAMES = [f"s-{number:04}" for number in range(SERVERS)]
-PLACES = [f"10.{1 + number // 250}.0.{number % 250}:5000" for number in range(SERVERS)]
-LIST = endpoint_list(1, True, **dict(zip(NAMES, PLACES, strict=True)))
-PEERS = [f"10.200.{number // 250}.{number % 250}:7946" for number in range(PROCESSES)]
-EVERYWHERE = "10.201.0.1:7946"
+SERVER_ADDRESSES = [f"10.{1 + number // 250}.0.{number % 250}:5000" for number in range(SERVERS)]
+ENDPOINT_LIST = endpoint_list(1, True, **dict(zip(NAMES, SERVER_ADDRESSES, strict=True)))
+PEER_ADDRESSES = [f"10.200.{number // 250}.{number % 250}:7946" for number in range(PROCESSES)]
+BROADCAST_ADDRESS = "10.201.0.1:7946"
 
 
 def settings(number: int) -> dict[str, Any]:
@@ -54,22 +54,22 @@
 class Process:
     """A program as the platform configures it, its list read; datagrams are carried by hand."""
 
-    def __init__(self, number: int, hosts: dict[str, Any] = LIST, **changes: Any) -> None:
+    def __init__(self, number: int, hosts: dict[str, Any] = ENDPOINT_LIST, **changes: Any) -> None:
         config = {
             "name": f"n{number}",
             "listen": "127.0.0.1:7000",
             "discovery": "127.0.0.1:7001",
             "seed": "1f",
             "known": hosts,
-            "peer_listen": PEERS[number],
-            "peers": PEERS,
-            "peers_all": EVERYWHERE,
+            "peer_listen": PEER_ADDRESSES[number],
+            "peers": PEER_ADDRESSES,
+            "peers_all": BROADCAST_ADDRESS,
             "settings": settings(number),
             **changes,
         }
-        self.told = configuration.decode(config)
-        self.program = Program(self.told)
-        self.program.discovery.apply_initial_list(self.told.known)
+        self.configuration = configuration.decode(config)
+        self.program = Program(self.configuration)
+        self.program.discovery.apply_initial_list(self.configuration.known)
         self.proxy = self.program.proxy
         self.balancer = self.proxy.balancer
         # Nothing that is reported of a server is too much to be believed.
@@ -77,140 +77,147 @@
         self.servers = self.balancer.servers
         self.sent: list[tuple[bytes, Address]] = []
         assert self.proxy.peer_link is not None
-        self.peers = self.proxy.peer_link
-        self.peers.transport = SimpleNamespace(write=lambda *sent: self.sent.append(sent))
+        self.peer_link = self.proxy.peer_link
+        self.peer_link.transport = SimpleNamespace(write=lambda *sent: self.sent.append(sent))
 
-    def datagrams(self) -> list[bytes]:
+    def take_datagrams(self) -> list[bytes]:
         """What it has told since."""
-        self.peers.send()
+        self.peer_link.send()
         sent, self.sent = self.sent, []
         assert max(len(data) for data, _ in sent) <= MAX_DATAGRAM_SIZE
         return [data for data, _ in sent]
 
-    def hear(self, datagrams: list[bytes], number: int) -> None:
+    def receive(self, datagrams: list[bytes], number: int) -> None:
         for data in datagrams:
-            self.peers.datagramReceived(data, address(PEERS[number], "peers"))
+            self.peer_link.datagramReceived(data, address(PEER_ADDRESSES[number], "peers"))
 
 
-def test_counts_of_all_servers_come_from_all_processes_and_go_out_as_sums_that_fit() -> None:
+def test_load_reports_of_all_processes_are_aggregated_and_fit_into_datagrams() -> None:
     sender, aggregator, third = (Process(number) for number in (1, 0, 2))
-    assert sorted(aggregator.peers.numbers.values()) == list(range(PROCESSES))
-    held = {server: 300 * number for number, server in enumerate(sender.servers.values())}
-    sender.proxy.send_load_report(held.items(), True, None, False)
-    datagrams = sender.datagrams()
+    assert sorted(aggregator.peer_link.numbers.values()) == list(range(PROCESSES))
+    counts = {server: 300 * number for number, server in enumerate(sender.servers.values())}
+    sender.proxy.send_load_report(counts.items(), True, None, False)
+    datagrams = sender.take_datagrams()
     assert len(datagrams) <= SERVERS // 40  # three bytes for a tag, two or three for a count of thousands
-    aggregator.hear(datagrams, 1)
+    aggregator.receive(datagrams, 1)
     assert [server.connections_by_peer.get(1, 0) for server in aggregator.servers.values()] == list(
-        held.values()
+        counts.values()
     )
 
-    sender.proxy.send_load_report(dict.fromkeys(held, 1).items(), True, None, False)
-    datagrams = sender.datagrams()
+    sender.proxy.send_load_report(dict.fromkeys(counts, 1).items(), True, None, False)
+    datagrams = sender.take_datagrams()
     assert len(datagrams) <= SERVERS // 60
     for number in range(2, PROCESSES):
-        aggregator.hear(datagrams, number)
-    sums = [count + PROCESSES - 2 for count in held.values()]
+        aggregator.receive(datagrams, number)
+    sums = [count + PROCESSES - 2 for count in counts.values()]
     assert [server.connections_elsewhere for server in aggregator.servers.values()] == sums
 
     aggregator.balancer.server_pool.load_reports.aggregator = 0
     aggregator.balancer.server_pool.load_reports.report_changes(aggregator.proxy.clock.now())
-    third.hear(aggregator.datagrams(), 0)
+    third.receive(aggregator.take_datagrams(), 0)
     assert [server.connections_elsewhere for server in third.servers.values()] == sums
 
 
-def test_message_times_homes_and_turns_of_all_servers_reach_who_they_are_for() -> None:
+def test_message_times_group_reports_and_permits_for_all_servers_are_received() -> None:
     sender, receiver = Process(1), Process(0)
-    homes, turns = list[Any](), list[Any]()
+    group_reports, permit_messages = list[Any](), list[Any]()
     balancer: Any = receiver.balancer
-    balancer.group_server_reported = lambda now, *home: homes.append(home)
-    balancer.permit_message_received = lambda now, *turn: turns.append(turn)
+    balancer.group_server_reported = lambda now, *group_report: group_reports.append(group_report)
+    balancer.permit_message_received = lambda now, *permit_message: permit_messages.append(permit_message)
     for number, server in enumerate(sender.servers.values()):
         if number % 2:
             sender.proxy.report_message_time(server, 0.001 * number)
         sender.proxy.report_group_servers([(number << records.UNREPORTED_POSITION_BITS, server)])
-    receiver.hear(sender.datagrams(), 1)
-    told_of = [server.id for server in receiver.servers.values() if server.message_time_reported_at]
-    assert told_of == NAMES[1::2]
-    late = [server.id for server in receiver.servers.values() if server.slow_until]
-    longest = receiver.proxy.settings.shortest_message_objective / 3
-    assert late == [name for number, name in enumerate(NAMES) if number % 2 and 0.001 * number > longest]
-    assert homes == [
-        (number << records.UNREPORTED_POSITION_BITS, each)
-        for number, each in enumerate(receiver.servers.values())
+    receiver.receive(sender.take_datagrams(), 1)
+    reported = [server.id for server in receiver.servers.values() if server.message_time_reported_at]
+    assert reported == NAMES[1::2]
+    slow = [server.id for server in receiver.servers.values() if server.slow_until]
+    objective = receiver.proxy.settings.shortest_message_objective / 3
+    assert slow == [name for number, name in enumerate(NAMES) if number % 2 and 0.001 * number > objective]
+    assert group_reports == [
+        (number << records.UNREPORTED_POSITION_BITS, server)
+        for number, server in enumerate(receiver.servers.values())
     ]
     for server in sender.servers.values():
         sender.proxy.send_permit_message(server, 0, 2)
-    receiver.hear(sender.datagrams(), 1)
-    assert turns == [(1, server, 2) for server in receiver.servers.values()]
+    receiver.receive(sender.take_datagrams(), 1)
+    assert permit_messages == [(1, server, 2) for server in receiver.servers.values()]
 
 
-def test_servers_whose_tags_are_the_same_are_never_taken_for_each_other(
+def test_servers_with_equal_tags_are_never_confused(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    digest: Callable[[bytes], Any] = vars(records)["md5"]
+    real_md5: Callable[[bytes], Any] = vars(records)["md5"]
 
-    def md5(text: bytes) -> Any:
-        own = digest(text).digest()
-        first = {b"s-0007#0": b"s-0003#0", b"s-1001#0": b"s-0500#0"}.get(text)
-        return SimpleNamespace(digest=lambda: own[:12] + digest(first).digest()[12:] if first else own)
+    def fake_md5(text: bytes) -> Any:
+        real_digest = real_md5(text).digest()
+        imitated = {b"s-0007#0": b"s-0003#0", b"s-1001#0": b"s-0500#0"}.get(text)
+        return SimpleNamespace(
+            digest=lambda: real_digest[:12] + real_md5(imitated).digest()[12:] if imitated else real_digest
+        )
 
-    monkeypatch.setattr(records, "md5", md5)
-    same = {"s-0007", "s-0003", "s-1001", "s-0500"}
+    monkeypatch.setattr(records, "md5", fake_md5)
+    sharing_tags = {"s-0007", "s-0003", "s-1001", "s-0500"}
     sender, receiver = Process(1, fleet={}), Process(0)
-    turns: list[str] = []
+    permit_messages: list[str] = []
     balancer: Any = receiver.balancer
-    balancer.permit_message_received = lambda now, peer, server, word: turns.append(server.id)
+    balancer.permit_message_received = lambda now, peer, server, word: permit_messages.append(server.id)
     sender.proxy.send_load_report([(server, 9) for server in sender.servers.values()], True, None, False)
     for server in sender.servers.values():
         sender.proxy.report_message_time(server, 9.0)
         sender.proxy.send_permit_message(server, 0, 2)
-    receiver.hear(sender.datagrams(), 1)
-    apart = [name for name in NAMES if name not in same]
-    assert turns == apart
-    assert [server.id for server in receiver.servers.values() if server.connections_elsewhere] == apart
-    assert [server.id for server in receiver.servers.values() if server.slow_until] == apart
-    said = [line for line in capsys.readouterr().err.splitlines() if "tags" in line]
-    assert len(said) == 2 and all(name in line for name in same for line in said)
+    receiver.receive(sender.take_datagrams(), 1)
+    distinct = [name for name in NAMES if name not in sharing_tags]
+    assert permit_messages == distinct
+    assert [server.id for server in receiver.servers.values() if server.connections_elsewhere] == distinct
+    assert [server.id for server in receiver.servers.values() if server.slow_until] == distinct
+    log_lines = [line for line in capsys.readouterr().err.splitlines() if "tags" in line]
+    assert len(log_lines) == 2 and all(name in line for name in sharing_tags for line in log_lines)
     # A process whose list has only one of two reports of it; who has both believes nothing of that.
-    shorter = {**LIST, "hosts": [host for host in LIST["hosts"] if host["host"] not in ("s-0007", "s-1001")]}
+    shorter = {
+        **ENDPOINT_LIST,
+        "hosts": [host for host in ENDPOINT_LIST["hosts"] if host["host"] not in ("s-0007", "s-1001")],
+    }
     fourth = Process(3, shorter)
     fourth.proxy.send_load_report([(server, 5) for server in fourth.servers.values()], True, None, False)
-    receiver.hear(fourth.datagrams(), 3)
-    assert [server.id for server in receiver.servers.values() if server.connections_by_peer.get(3)] == apart
+    receiver.receive(fourth.take_datagrams(), 3)
+    assert [
+        server.id for server in receiver.servers.values() if server.connections_by_peer.get(3)
+    ] == distinct
     # Nor are they judged for each other.
-    shares: Any = sender.proxy.requests.fleet_admission
+    admission: Any = sender.proxy.requests.fleet_admission
     for _ in range(server_observations.FAILURES_TO_REPORT):
         for name in ("s-0003", "s-0001"):
-            shares.attempt_finished(sender.servers[name], False)
-    good, bad = shares.fleet.server_observer.recent_opinions(sender.proxy.clock.now())
+            admission.attempt_finished(sender.servers[name], False)
+    good, bad = admission.fleet.server_observer.recent_opinions(sender.proxy.clock.now())
     assert good == [] and len(bad) == 1
 
 
-def test_small_lists_have_short_tags_which_a_longer_list_reads_where_they_are_its_own() -> None:
-    few = {**LIST, "hosts": LIST["hosts"][:20]}
-    sender, receiver = Process(1, few), Process(0)
+def test_short_tags_of_a_small_list_are_read_by_a_longer_list_where_unambiguous() -> None:
+    short_list = {**ENDPOINT_LIST, "hosts": ENDPOINT_LIST["hosts"][:20]}
+    sender, receiver = Process(1, short_list), Process(0)
     sender.proxy.send_load_report([(server, 7) for server in sender.servers.values()], True, None, False)
-    datagrams = sender.datagrams()
+    datagrams = sender.take_datagrams()
     assert [len(data) for data in datagrams] == [1 + 1 + 1 + 20 * 3]
-    receiver.hear(datagrams, 1)
+    receiver.receive(datagrams, 1)
     tags = Counter(server.points[0] & 0xFFFF for server in receiver.servers.values())
-    apart = [name for name in NAMES[:20] if tags[receiver.servers[name].points[0] & 0xFFFF] == 1]
+    distinct = [name for name in NAMES[:20] if tags[receiver.servers[name].points[0] & 0xFFFF] == 1]
     assert [
         server.id for server in receiver.servers.values() if server.connections_by_peer.get(1) == 7
-    ] == apart
+    ] == distinct
     assert len(tags) < SERVERS  # two bytes would not do for the longer list
 
 
-def test_messages_on_the_wire_hold_no_more_than_it_takes() -> None:
+def test_peer_messages_on_the_simulator_wire_keep_within_its_size_limit() -> None:
     adapter = Adapter()
-    table = [[name, "a", "m", 0, "IN", 1, None] for name in NAMES]
-    news: list[Any] = [["TABLE", 0, table]]
+    entries = [[name, "a", "m", 0, "IN", 1, None] for name in NAMES]
+    events: list[Any] = [["TABLE", 0, entries]]
     for number in (0, 1):
-        news.append(["ENLIST", f"proxy/{number}", number, settings(number)])
-        news.append(["ROSTER_CHANGE", f"proxy/{number}", "SAVED", 1, 0])
-    adapter.handle_batch(json.dumps({"t_us": 10**6, "news": news}))
-    reader_, sender = adapter.proxies["proxy/0"], adapter.proxies["proxy/1"]
-    reader_.balancer.server_pool.counts.max_on_ready = 10**9
+        events.append(["ENLIST", f"proxy/{number}", number, settings(number)])
+        events.append(["ROSTER_CHANGE", f"proxy/{number}", "SAVED", 1, 0])
+    adapter.handle_batch(json.dumps({"t_us": 10**6, "news": events}))
+    receiver, sender = adapter.proxies["proxy/0"], adapter.proxies["proxy/1"]
+    receiver.balancer.server_pool.counts.max_on_ready = 10**9
     adapter.actions.clear()
     servers: list[records.Server] = list(sender.balancer.servers.values())
     sender.send_load_report(
@@ -222,46 +229,46 @@
     adapter.handle_batch(
         json.dumps({"t_us": 10**6, "news": [["PEER", "proxy/0", 1, text] for text in texts]})
     )
-    told_of = [server.connections_by_peer.get(1, 0) for server in reader_.balancer.servers.values()]
-    assert told_of == [300 * number for number in range(SERVERS)]
+    reported = [server.connections_by_peer.get(1, 0) for server in receiver.balancer.servers.values()]
+    assert reported == [300 * number for number in range(SERVERS)]
 
 
-def test_lists_of_all_servers_come_in_from_each_source() -> None:
-    version, complete, listed, addresses = decode_list(LIST)
+def test_each_discovery_source_reads_a_list_of_all_servers() -> None:
+    version, complete, listed, addresses = decode_list(ENDPOINT_LIST)
     assert (version, complete, len(listed), len(addresses)) == (1, True, SERVERS, SERVERS)
-    heard: list[Any] = []
-    discovery = SimpleNamespace(list_received=heard.append, watch_failed=heard.append)
+    received_lists: list[Any] = []
+    discovery = SimpleNamespace(list_received=received_lists.append, watch_failed=received_lists.append)
     discovery.proxy = SimpleNamespace(
         clock=SimpleNamespace(now=lambda: 0.0, call_after_reads=lambda *_: None), settings=None
     )
     discovery.watch = watch = Watch(discovery)  # type: ignore[arg-type]
-    for text in (json.dumps(LIST), json.dumps(LIST, indent=4)):
+    for text in (json.dumps(ENDPOINT_LIST), json.dumps(ENDPOINT_LIST, indent=4)):
         data = text.encode() + b"\n"
         for at in range(0, len(data), 1400):
             watch.dataReceived(data[at : at + 1400])
-    assert heard == [LIST, LIST]
+    assert received_lists == [ENDPOINT_LIST, ENDPOINT_LIST]
 
     servers = "".join(
-        f'[[server]]\nname = "{name}"\naddress = "{place}"\n'
-        for name, place in zip(NAMES, PLACES, strict=True)
+        f'[[server]]\nname = "{name}"\naddress = "{address_text}"\n'
+        for name, address_text in zip(NAMES, SERVER_ADDRESSES, strict=True)
     )
-    reading, of_file = server_file.parse(servers + "[end]\n")
-    assert not reading.faults and [server.name for server in of_file] == NAMES
+    parsed, listed_servers = server_file.parse(servers + "[end]\n")
+    assert not parsed.faults and [server.name for server in listed_servers] == NAMES
 
     items = [
-        {"Node": {"Node": "n", "Address": place.split(":")[0]}, "Service": {"ID": name, "Port": 5000}}
-        for name, place in zip(NAMES, PLACES, strict=True)
+        {"Node": {"Node": "n", "Address": address_text.split(":")[0]}, "Service": {"ID": name, "Port": 5000}}
+        for name, address_text in zip(NAMES, SERVER_ADDRESSES, strict=True)
     ]
     found, unused = answers.AnswerDecoder(answers.MetadataKeys()).decode(json.dumps(items).encode())
     assert len(found) == SERVERS and not unused
 
 
-def test_the_sidecars_file_may_name_all_servers_and_members(tmp_path: Path) -> None:
-    members = ", ".join(f'"{peer}"' for peer in PEERS)
-    fleet = f'[fleet]\nlisten = "{PEERS[7]}"\nmembers = [{members}]\n\n[log]'
+def test_sidecar_file_accepts_all_servers_and_members(tmp_path: Path) -> None:
+    members = ", ".join(f'"{peer}"' for peer in PEER_ADDRESSES)
+    fleet = f'[fleet]\nlisten = "{PEER_ADDRESSES[7]}"\nmembers = [{members}]\n\n[log]'
     servers = "".join(
-        f'[[server]]\nname = "{name}"\naddress = "{place}"\n'
-        for name, place in zip(NAMES, PLACES, strict=True)
+        f'[[server]]\nname = "{name}"\naddress = "{address_text}"\n'
+        for name, address_text in zip(NAMES, SERVER_ADDRESSES, strict=True)
     )
     text = GOOD[: GOOD.index("[[server]]")].replace("[log]", fleet)
     text = text.replace("descriptors = 512", "descriptors = 2048").replace("128MiB", "512MiB")
@@ -269,12 +276,12 @@
     path.write_text(f"sidecars = {PROCESSES}\nnumber = 7\n{text}{servers}\n[end]\n")
     read = reader.read(str(path), {}, Machine(10**6, 2**40))
     assert read.fault_lines() == [] and read.file and read.file.fleet
-    assert [server.name for server in read.servers] == NAMES and read.file.fleet.members == PEERS
+    assert [server.name for server in read.servers] == NAMES and read.file.fleet.members == PEER_ADDRESSES
     assert read.settings and (read.settings.proxies, read.settings.proxy_number) == (PROCESSES, 7)
 
 
-def test_what_operators_said_of_all_servers_goes_along_to_the_next_process() -> None:
-    before, after = Process(1), Process(1, {**LIST, "hosts": []})
+def test_operator_commands_for_all_servers_are_handed_off() -> None:
+    before, after = Process(1), Process(1, {**ENDPOINT_LIST, "hosts": []})
     for name in NAMES:
         before.proxy.operator_commands.take_out_of_rotation(name)
     state = HandoffState.capture(before.proxy, before.program.discovery)
@@ -285,49 +292,51 @@
     rotation, listed = Rotation(), [entry(name) for name in NAMES]
     for old in range(4):  # names that were listed once are forgotten ahead of those that are listed
         rotation.apply([entry(f"{old}{name}") for name in NAMES], True)
-    assert rotation.apply(listed, True) == listed and {each[0] for each in listed} <= set(rotation.listed)
+    assert rotation.apply(listed, True) == listed and {endpoint[0] for endpoint in listed} <= set(
+        rotation.listed
+    )
 
 
 def entry(name: str) -> Endpoint:
     return Endpoint(name, "a", 0, EndpointStatus.READY, 1.0, 0.0)
 
 
-class Members:
+class FleetSimulation:
     """The processes of one fleet in virtual time; each datagram takes up to 20 ms."""
 
     def __init__(self) -> None:
-        self.now, self.rng, self.order = 0.0, Random(1), count()
+        self.now, self.rng, self.sequence = 0.0, Random(1), count()
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         budget = Budget("flows", 10 * PROCESSES, 2.0, PROCESSES)
-        self.fleets: list[FleetMember] = []
+        self.members: list[FleetMember] = []
         for number in range(PROCESSES):
-            say = partial(self.carry, number)
+            send = partial(self.send, number)
             fleet = FleetMember(
-                number, PROCESSES, [budget], 10**12, 0.0, number, say, lambda line: None, self.tags
+                number, PROCESSES, [budget], 10**12, 0.0, number, send, lambda line: None, self.tags
             )
-            self.fleets.append(fleet)
-            self.later(self.rng.uniform(0, TURN), partial(self.turn, fleet))
+            self.members.append(fleet)
+            self.schedule(self.rng.uniform(0, TICK_INTERVAL), partial(self.tick, fleet))
 
     @staticmethod
     def tags() -> list[int]:
         """The largest, which take the most bytes."""
         return list(range(2**32 - SERVERS, 2**32))
 
-    def later(self, seconds: float, call: Callable[[], None]) -> None:
-        heappush(self.events, (self.now + seconds, next(self.order), call))
+    def schedule(self, seconds: float, call: Callable[[], None]) -> None:
+        heappush(self.events, (self.now + seconds, next(self.sequence), call))
 
-    def turn(self, fleet: FleetMember) -> None:
+    def tick(self, fleet: FleetMember) -> None:
         fleet.tick(self.now)
-        self.later(TURN, partial(self.turn, fleet))
+        self.schedule(TICK_INTERVAL, partial(self.tick, fleet))
 
-    def carry(self, sender: int, data: bytes, to: int | None) -> None:
+    def send(self, sender: int, data: bytes, to: int | None) -> None:
         assert len(data) <= MAX_DATAGRAM_SIZE
         for number in range(PROCESSES) if to is None else (to,):
             if number != sender:
-                self.later(self.rng.uniform(0.0, 0.02), partial(self.arrive, number, sender, data))
+                self.schedule(self.rng.uniform(0.0, 0.02), partial(self.deliver, number, sender, data))
 
-    def arrive(self, number: int, sender: int, data: bytes) -> None:
-        self.fleets[number].receive_datagram(self.now, sender, data)
+    def deliver(self, number: int, sender: int, data: bytes) -> None:
+        self.members[number].receive_datagram(self.now, sender, data)
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
@@ -337,22 +346,22 @@
         self.now = until
 
 
-def test_a_fleet_of_all_processes_finds_a_leader_lends_to_each_and_judges_all_servers() -> None:
-    members = Members()
-    members.run(9.0)
-    assert {fleet.coverage(members.now).reachable for fleet in members.fleets} == {PROCESSES}
-    assert all(fleet.has_lease(members.now) for fleet in members.fleets)
-    for fleet in members.fleets:
+def test_fleet_of_all_processes_elects_a_leader_leases_to_each_and_ejects_servers() -> None:
+    simulation = FleetSimulation()
+    simulation.run(9.0)
+    assert {fleet.coverage(simulation.now).reachable for fleet in simulation.members} == {PROCESSES}
+    assert all(fleet.has_lease(simulation.now) for fleet in simulation.members)
+    for fleet in simulation.members:
         fleet.counts.note(1, "feed", "acme", "v1")
-    tags = members.tags()
+    tags = simulation.tags()
     bad = tags[::5][:200]
-    for fleet in members.fleets[1:4]:
+    for fleet in simulation.members[1:4]:
         for tag in tags:
             for _ in range(server_observations.FAILURES_TO_REPORT):
-                fleet.server_observer.record_attempt(members.now, tag, tag not in bad)
-    members.run(7.0)
-    for fleet in (members.fleets[0], members.fleets[-1]):
-        assert sorted(fleet.server_observer.ejected_servers(members.now, tags)) == bad
+                fleet.server_observer.record_attempt(simulation.now, tag, tag not in bad)
+    simulation.run(7.0)
+    for fleet in (simulation.members[0], simulation.members[-1]):
+        assert sorted(fleet.server_observer.ejected_servers(simulation.now, tags)) == bad
         assert sum(totals[1] for totals in fleet.counts.fleet.values()) == PROCESSES
 
 
