--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -135,8 +135,8 @@
     objective = receiver.proxy.settings.shortest_message_objective / 3
     assert slow == [name for number, name in enumerate(NAMES) if number % 2 and 0.001 * number > objective]
     assert group_reports == [
-        (number << records.UNREPORTED_POSITION_BITS, server)
-        for number, server in enumerate(receiver.servers.values())
+        (number << records.UNREPORTED_POSITION_BITS, group_server)
+        for number, group_server in enumerate(receiver.servers.values())
     ]
     for server in sender.servers.values():
         sender.proxy.send_permit_message(server, 0, 2)
