--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -1,4 +1,4 @@
-"""Fleet tables from made-up logs: what is counted, in which second, for which process and reason."""
+"""Tables of `benchmarks.fleet` from made-up logs: what they count, by second, process, age and reason."""
 
 from __future__ import annotations
 
@@ -35,7 +35,8 @@
     return f"end {code} {request_id} server={server} connects={attempts} age={age:.3f}"
 
 
-# Restarted at 6.0; its gate narrows twice in its first run (counted once) and is narrow up to its end.
+# Restarts at 6.0. In its first run, its concurrency limit is twice logged as below one, which counts as one
+# narrow gate until the run ends.
 FIRST_LOG = log_of(
     (0.1, PING),
     (2.5, end("bye", "aa", 1, 2.0)),
@@ -54,7 +55,7 @@
     (9.5, end("bye", "af", 1, 0.2)),
     (9.6, "log: 7 lines dropped"),
 )
-# Killed between 5.0 and 7.0: only the second ping tells.
+# Killed between 5.0 and 7.0; only the second ping shows the restart.
 SECOND_LOG = log_of(
     (0.2, PING),
     (1.0, "concurrency limit below one: most attempts fail at every server"),
@@ -123,7 +124,7 @@
     add_state(log, rows)
     state = {int(second): (row["gates"], row["processes"]) for second, row in rows.items()}
     assert state == {
-        0: (1, 2),  # at 1.0 the gate of n2 has just narrowed
+        0: (1, 2),  # the gate of n2 narrows at 1.0
         1: (0, 2),
         2: (0, 2),
         3: (1, 2),
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -1,4 +1,4 @@
-"""1,024 processes before 1,024 servers, through every list, message and file that names them."""
+"""1,024 processes with 1,024 servers: every list, message and file that names them has room for all."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 from tests.test_check import GOOD
 
 PROCESSES = SERVERS = 1024
-TICK_INTERVAL = 0.1  # seconds between two turns of a member
+TICK_INTERVAL = 0.1  # seconds between two ticks of a member
 NAMES = [f"s-{number:04}" for number in range(SERVERS)]
 SERVER_ADDRESSES = [f"10.{1 + number // 250}.0.{number % 250}:5000" for number in range(SERVERS)]
 ENDPOINT_LIST = endpoint_list(1, True, **dict(zip(NAMES, SERVER_ADDRESSES, strict=True)))
@@ -52,7 +52,7 @@
 
 
 class Process:
-    """A program as the platform configures it, its list read; datagrams are carried by hand."""
+    """A program as the platform configures it, with a list applied; tests deliver its datagrams."""
 
     def __init__(self, number: int, hosts: dict[str, Any] = ENDPOINT_LIST, **changes: Any) -> None:
         config = {
@@ -72,7 +72,7 @@
         self.program.discovery.apply_initial_list(self.configuration.known)
         self.proxy = self.program.proxy
         self.balancer = self.proxy.balancer
-        # Nothing that is reported of a server is too much to be believed.
+        # Accepts any reported connection count, however high.
         self.balancer.server_pool.counts.max_on_ready = 10**9
         self.servers = self.balancer.servers
         self.sent: list[tuple[bytes, Address]] = []
@@ -81,7 +81,7 @@
         self.peer_link.transport = SimpleNamespace(write=lambda *sent: self.sent.append(sent))
 
     def take_datagrams(self) -> list[bytes]:
-        """What it has told since."""
+        """Returns the datagrams sent since the last call."""
         self.peer_link.send()
         sent, self.sent = self.sent, []
         assert max(len(data) for data, _ in sent) <= MAX_DATAGRAM_SIZE
@@ -98,7 +98,7 @@
     counts = {server: 300 * number for number, server in enumerate(sender.servers.values())}
     sender.proxy.send_load_report(counts.items(), True, None, False)
     datagrams = sender.take_datagrams()
-    assert len(datagrams) <= SERVERS // 40  # three bytes for a tag, two or three for a count of thousands
+    assert len(datagrams) <= SERVERS // 40  # three bytes per tag, two or three per count in the thousands
     aggregator.receive(datagrams, 1)
     assert [server.connections_by_peer.get(1, 0) for server in aggregator.servers.values()] == list(
         counts.values()
@@ -173,7 +173,8 @@
     assert [server.id for server in receiver.servers.values() if server.slow_until] == distinct
     log_lines = [line for line in capsys.readouterr().err.splitlines() if "tags" in line]
     assert len(log_lines) == 2 and all(name in line for name in sharing_tags for line in log_lines)
-    # A process whose list has only one of two reports of it; who has both believes nothing of that.
+    # A process that lists only one of two servers with equal tags reports it; a process that lists both
+    # ignores that report.
     shorter = {
         **ENDPOINT_LIST,
         "hosts": [host for host in ENDPOINT_LIST["hosts"] if host["host"] not in ("s-0007", "s-1001")],
@@ -184,7 +185,7 @@
     assert [
         server.id for server in receiver.servers.values() if server.connections_by_peer.get(3)
     ] == distinct
-    # Nor are they judged for each other.
+    # Failed attempts at a server with an ambiguous tag give no opinion on any server.
     admission: Any = sender.proxy.requests.fleet_admission
     for _ in range(server_observations.FAILURES_TO_REPORT):
         for name in ("s-0003", "s-0001"):
@@ -205,7 +206,7 @@
     assert [
         server.id for server in receiver.servers.values() if server.connections_by_peer.get(1) == 7
     ] == distinct
-    assert len(tags) < SERVERS  # two bytes would not do for the longer list
+    assert len(tags) < SERVERS  # two-byte tags are ambiguous in the longer list
 
 
 def test_peer_messages_on_the_simulator_wire_keep_within_its_size_limit() -> None:
@@ -290,7 +291,7 @@
     HandoffState.decode(json.loads(line)["estate"]).restore(after.proxy, after.program.discovery)
     assert list(after.proxy.rotation.out_since) == NAMES and list(after.servers) == NAMES
     rotation, listed = Rotation(), [entry(name) for name in NAMES]
-    for old in range(4):  # names that were listed once are forgotten ahead of those that are listed
+    for old in range(4):  # names that are no longer listed are forgotten before those that are
         rotation.apply([entry(f"{old}{name}") for name in NAMES], True)
     assert rotation.apply(listed, True) == listed and {endpoint[0] for endpoint in listed} <= set(
         rotation.listed
@@ -302,7 +303,7 @@
 
 
 class FleetSimulation:
-    """The processes of one fleet in virtual time; each datagram takes up to 20 ms."""
+    """Simulates the processes of one fleet in virtual time; each datagram takes up to 20 ms."""
 
     def __init__(self) -> None:
         self.now, self.rng, self.sequence = 0.0, Random(1), count()
@@ -319,7 +320,7 @@
 
     @staticmethod
     def tags() -> list[int]:
-        """The largest, which take the most bytes."""
+        """Returns the largest tags, which take the most bytes."""
         return list(range(2**32 - SERVERS, 2**32))
 
     def schedule(self, seconds: float, call: Callable[[], None]) -> None:
