--- a/brambleplank/net/clock.py
+++ b/brambleplank/net/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a proxy, and its timers."""
+"""The clock and the timers of a proxy."""
 
 from __future__ import annotations
 
@@ -10,83 +10,87 @@
 
 from brambleplank.net.loop import reactor
 
-MAX_SLEW = 2.0  # seconds by which the wall clock gets ahead without having been stepped
-STEP_SETTLED_AFTER = 900.0  # seconds for which a step forward must hold until dates follow it
+MAX_SLEW = 2.0  # seconds; a larger advance of the wall clock counts as a step
+STEP_SETTLED_AFTER = 900.0  # seconds that a forward step must persist before dates follow it
 
 
 class Clock:
-    """Spans run on the monotonic clock alone; its zero is set once, so that logs read as Unix time."""
+    """A monotonic clock, offset once at the start so that its times read as Unix time in logs.
+
+    All delays and durations use this clock.
+    """
 
     def __init__(self) -> None:
         self.epoch_offset = time.time() - time.monotonic()
-        self.date_offset = self.epoch_offset  # of dates to the monotonic clock
-        self.stepped: tuple[float, float] | None = None  # an offset that is waited out, and since when
+        self.settled_offset = self.epoch_offset  # settled wall time minus monotonic time
+        # The offset after a forward step that is not settled yet, and the monotonic time of the step.
+        self.pending_step: tuple[float, float] | None = None
 
     def now(self) -> float:
-        """Returns seconds on the monotonic clock, from a zero that lets them read as Unix time."""
+        """Returns the monotonic time in seconds, offset to read as Unix time."""
         return self.epoch_offset + time.monotonic()
 
     @staticmethod
     def wall_time() -> float:
-        """Returns Unix time as this machine has it now, to read or write what others write in it.
+        """Returns this machine's current Unix time, for timestamps exchanged with others.
 
-        It may be stepped at any time, so no rule rests on its difference to `now`.
+        The wall clock may be stepped at any time, so no rule may depend on its difference to `now`.
         """
         return time.time()
 
     def settled_wall_time(self) -> float:
-        """Returns Unix time for dates at which something begins: a step forward counts once it has held.
+        """Returns Unix time for scheduled dates: a forward step takes effect after `STEP_SETTLED_AFTER`.
 
-        A step back counts at once, as later than its date nothing begins that cannot be undone.
+        A backward step takes effect at once: a late start is safe, while an early one cannot be undone.
         """
         monotonic = time.monotonic()
         offset = self.wall_time() - monotonic
-        if offset <= self.date_offset + MAX_SLEW:
-            self.date_offset = offset
-            self.stepped = None
-        elif self.stepped is None or abs(offset - self.stepped[0]) > MAX_SLEW:
-            self.stepped = offset, monotonic
-        elif monotonic >= self.stepped[1] + STEP_SETTLED_AFTER:
-            self.date_offset = offset
-            self.stepped = None
-        return self.date_offset + monotonic
+        if offset <= self.settled_offset + MAX_SLEW:
+            self.settled_offset = offset
+            self.pending_step = None
+        elif self.pending_step is None or abs(offset - self.pending_step[0]) > MAX_SLEW:
+            self.pending_step = offset, monotonic
+        elif monotonic >= self.pending_step[1] + STEP_SETTLED_AFTER:
+            self.settled_offset = offset
+            self.pending_step = None
+        return self.settled_offset + monotonic
 
     def adopt_epoch_offset(self, epoch_offset: float) -> None:
-        """Goes on by the clock of another process of this machine, so that times of both can be compared."""
+        """Adopts the offset of another process of this machine, so that times of both are comparable."""
         self.epoch_offset = epoch_offset
 
-    def call_later(self, delay: float, call: Callable[..., object], *what: Any) -> DelayedCall:
-        """Calls after a delay in seconds."""
-        call_made: DelayedCall = reactor.callLater(max(0.0, delay), call, *what)
-        return call_made
+    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> DelayedCall:
+        """Schedules a call after a delay in seconds."""
+        delayed_call: DelayedCall = reactor.callLater(max(0.0, delay), callback, *args)
+        return delayed_call
 
-    def call_after_reads(self, delay: float, call: Callable[..., object], *what: Any) -> CallAfterReads:
-        """Calls after a delay in seconds, once what had arrived by then has been read.
+    def call_after_reads(self, delay: float, callback: Callable[..., object], *args: Any) -> CallAfterReads:
+        """Schedules a call after a delay in seconds, once data that has arrived by then has been read.
 
-        After a stall of this process timers come first, and would take what did arrive for missing.
+        After a stall of this process, timers run before I/O, and would take data that did arrive for missing.
         """
-        return CallAfterReads(self, delay, call, what)
+        return CallAfterReads(self, delay, callback, args)
 
 
 class CallAfterReads:
-    """A call that is made one pass of the loop after its time; until then it can be cancelled."""
+    """A scheduled call that runs one iteration of the event loop after its time; it can be cancelled."""
 
     def __init__(
-        self, clock: Clock, delay: float, call: Callable[..., object], what: tuple[Any, ...]
+        self, clock: Clock, delay: float, callback: Callable[..., object], args: tuple[Any, ...]
     ) -> None:
         self.clock = clock
-        self.call = call
-        self.what = what
-        self.timer = clock.call_later(delay, self.reads)
+        self.callback = callback
+        self.args = args
+        self.timer = clock.call_later(delay, self._call_after_next_read)
 
-    def reads(self) -> None:
-        """Lets the loop read before the call."""
-        self.timer = self.clock.call_later(0, self.call, *self.what)
+    def _call_after_next_read(self) -> None:
+        """Defers the call by one iteration of the event loop, which reads first."""
+        self.timer = self.clock.call_later(0, self.callback, *self.args)
 
     def active(self) -> bool:
-        """Returns whether the call is still to come."""
+        """Returns whether the call is still pending."""
         return bool(self.timer.active())
 
     def cancel(self) -> None:
-        """Drops the call."""
+        """Cancels the call."""
         self.timer.cancel()
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -94,7 +94,7 @@
 
 def test_load_reports_of_all_processes_are_aggregated_and_fit_into_datagrams() -> None:
     sender, aggregator, third = (Process(number) for number in (1, 0, 2))
-    assert sorted(aggregator.peer_link.numbers.values()) == list(range(PROCESSES))
+    assert sorted(aggregator.peer_link.peer_numbers.values()) == list(range(PROCESSES))
     counts = {server: 300 * number for number, server in enumerate(sender.servers.values())}
     sender.proxy.send_load_report(counts.items(), True, None, False)
     datagrams = sender.take_datagrams()
