--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -132,8 +132,10 @@
     reported = [server.id for server in receiver.servers.values() if server.message_time_reported_at]
     assert reported == NAMES[1::2]
     slow = [server.id for server in receiver.servers.values() if server.slow_until]
-    objective = receiver.proxy.settings.shortest_message_objective / 3
-    assert slow == [name for number, name in enumerate(NAMES) if number % 2 and 0.001 * number > objective]
+    slow_threshold = receiver.proxy.settings.shortest_message_objective / 3
+    assert slow == [
+        name for number, name in enumerate(NAMES) if number % 2 and 0.001 * number > slow_threshold
+    ]
     assert group_reports == [
         (number << records.UNREPORTED_POSITION_BITS, group_server)
         for number, group_server in enumerate(receiver.servers.values())
@@ -282,14 +284,14 @@
 
 
 def test_operator_commands_for_all_servers_are_handed_off() -> None:
-    before, after = Process(1), Process(1, {**ENDPOINT_LIST, "hosts": []})
+    old_process, new_process = Process(1), Process(1, {**ENDPOINT_LIST, "hosts": []})
     for name in NAMES:
-        before.proxy.operator_commands.take_out_of_rotation(name)
-    state = HandoffState.capture(before.proxy, before.program.discovery)
+        old_process.proxy.operator_commands.take_out_of_rotation(name)
+    state = HandoffState.capture(old_process.proxy, old_process.program.discovery)
     line = upgrade_messages.encode({"estate": state.encode()})
     assert len(line) < upgrade_messages.MAX_LINE
-    HandoffState.decode(json.loads(line)["estate"]).restore(after.proxy, after.program.discovery)
-    assert list(after.proxy.rotation.out_since) == NAMES and list(after.servers) == NAMES
+    HandoffState.decode(json.loads(line)["estate"]).restore(new_process.proxy, new_process.program.discovery)
+    assert list(new_process.proxy.rotation.out_since) == NAMES and list(new_process.servers) == NAMES
     rotation, listed = Rotation(), [entry(name) for name in NAMES]
     for old in range(4):  # names that are no longer listed are forgotten before those that are
         rotation.apply([entry(f"{old}{name}") for name in NAMES], True)
@@ -312,11 +314,11 @@
         self.members: list[FleetMember] = []
         for number in range(PROCESSES):
             send = partial(self.send, number)
-            fleet = FleetMember(
+            member = FleetMember(
                 number, PROCESSES, [budget], 10**12, 0.0, number, send, lambda line: None, self.tags
             )
-            self.members.append(fleet)
-            self.schedule(self.rng.uniform(0, TICK_INTERVAL), partial(self.tick, fleet))
+            self.members.append(member)
+            self.schedule(self.rng.uniform(0, TICK_INTERVAL), partial(self.tick, member))
 
     @staticmethod
     def tags() -> list[int]:
@@ -326,9 +328,9 @@
     def schedule(self, seconds: float, call: Callable[[], None]) -> None:
         heappush(self.events, (self.now + seconds, next(self.sequence), call))
 
-    def tick(self, fleet: FleetMember) -> None:
-        fleet.tick(self.now)
-        self.schedule(TICK_INTERVAL, partial(self.tick, fleet))
+    def tick(self, member: FleetMember) -> None:
+        member.tick(self.now)
+        self.schedule(TICK_INTERVAL, partial(self.tick, member))
 
     def send(self, sender: int, data: bytes, to: int | None) -> None:
         assert len(data) <= MAX_DATAGRAM_SIZE
@@ -340,30 +342,30 @@
         self.members[number].receive_datagram(self.now, sender, data)
 
     def run(self, seconds: float) -> None:
-        until = self.now + seconds
-        while self.events[0][0] < until:
+        end = self.now + seconds
+        while self.events[0][0] < end:
             self.now, _, call = heappop(self.events)
             call()
-        self.now = until
+        self.now = end
 
 
 def test_fleet_of_all_processes_elects_a_leader_leases_to_each_and_ejects_servers() -> None:
     simulation = FleetSimulation()
     simulation.run(9.0)
-    assert {fleet.coverage(simulation.now).reachable for fleet in simulation.members} == {PROCESSES}
-    assert all(fleet.has_lease(simulation.now) for fleet in simulation.members)
-    for fleet in simulation.members:
-        fleet.counts.note(1, "feed", "acme", "v1")
+    assert {member.coverage(simulation.now).reachable for member in simulation.members} == {PROCESSES}
+    assert all(member.has_lease(simulation.now) for member in simulation.members)
+    for member in simulation.members:
+        member.counts.note(1, "feed", "acme", "v1")
     tags = simulation.tags()
-    bad = tags[::5][:200]
-    for fleet in simulation.members[1:4]:
+    failing_tags = tags[::5][:200]
+    for member in simulation.members[1:4]:
         for tag in tags:
             for _ in range(server_observations.FAILURES_TO_REPORT):
-                fleet.server_observer.record_attempt(simulation.now, tag, tag not in bad)
+                member.server_observer.record_attempt(simulation.now, tag, tag not in failing_tags)
     simulation.run(7.0)
-    for fleet in (simulation.members[0], simulation.members[-1]):
-        assert sorted(fleet.server_observer.ejected_servers(simulation.now, tags)) == bad
-        assert sum(totals[1] for totals in fleet.counts.fleet.values()) == PROCESSES
+    for member in (simulation.members[0], simulation.members[-1]):
+        assert sorted(member.server_observer.ejected_servers(simulation.now, tags)) == failing_tags
+        assert sum(totals[1] for totals in member.counts.fleet.values()) == PROCESSES
 
 
 def test_the_ring_holds_all_servers() -> None:
