--- a/tests/programs.py
+++ b/tests/programs.py
@@ -24,12 +24,17 @@
 
 PLATFORM_CODE = "from brambleplank.platform.run import main\nsys.exit(main())"
 SIDECAR_CODE = "from brambleplank.sidecar.run import main\nsys.exit(main({!r}, {!r}))"
-OWN_VARIABLES = ("ROUTER_", "BRAMBLEPLANK_")  # prefixes of environment variables that the program reads
+PROGRAM_VARIABLE_PREFIXES = (
+    "ROUTER_",
+    "BRAMBLEPLANK_",
+)  # prefixes of environment variables that the program reads
 
 
 def start_process(config: Path | None, code: str = "", log: Any = subprocess.PIPE) -> subprocess.Popen[str]:
     """Starts the program, or the Python `code` instead. Standard error goes to `log`."""
-    environment = {name: value for name, value in os.environ.items() if not name.startswith(OWN_VARIABLES)}
+    environment = {
+        name: value for name, value in os.environ.items() if not name.startswith(PROGRAM_VARIABLE_PREFIXES)
+    }
     if config:
         environment["ROUTER_CONFIG"] = str(config)
         environment["TMPDIR"] = str(config.parent)
