--- a/brambleplank/emulator/consul.py
+++ b/brambleplank/emulator/consul.py
@@ -33,7 +33,7 @@
     weights: dict[str, int] | None = None
 
     def health_entry(self) -> dict[str, Any]:
-        """Returns its entry in the answer to a health query."""
+        """Returns the entry for it in the answer to a health query."""
         host, _, port = self.address.rpartition(":")
         checks = [
             {"CheckID": "serfHealth", "Status": "passing"},
@@ -70,7 +70,7 @@
 
     @property
     def address(self) -> str:
-        """The address on which it listens."""
+        """The agent's address."""
         return f"127.0.0.1:{self.port}"
 
     async def listen(self) -> None:
@@ -101,7 +101,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def update_service(self, service: str, instance: ServiceInstance | None = None, drop: str = "") -> None:
-        """Adds or replaces an instance, or removes the one named `drop`; then answers waiting queries."""
+        """Adds or replaces an instance, or removes the one with id `drop`, and answers waiting queries."""
         instances = self.services.setdefault(service, {})
         if instance:
             instances[instance.id] = instance
@@ -109,7 +109,7 @@
         self.mark_changed(service)
 
     def mark_changed(self, service: str) -> None:
-        """Advances the index for a changed service, and wakes the queries that wait for a change."""
+        """Advances the index for a changed service, so that queries that wait for it are answered."""
         self.index += 1
         self.changed_at[service] = self.index
         changed = self.changed
@@ -117,7 +117,7 @@
         changed.set()
 
     def reset_index(self, index: int) -> None:
-        """Sets the index back, as happens when an agent restarts or is restored from a snapshot."""
+        """Sets a lower index, as an agent has after a restart or a restore."""
         self.index = index
         self.changed_at = dict.fromkeys(self.services, index)
 
--- a/brambleplank/emulator/servers.py
+++ b/brambleplank/emulator/servers.py
@@ -30,7 +30,7 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.open_reply = b"UP"  # its reply to an OPEN (UP gets an argument); empty: no reply
+        self.open_reply = b"UP"  # the reply to an OPEN, with an argument after UP; empty: no reply
         self.reply_delay = 0.0  # seconds before that reply
         self.open_records: list[OpenRecord] = []
         self.connections: set[ServerConnection] = set()
@@ -45,7 +45,7 @@
 
     @property
     def address(self) -> str:
-        """The address on which it listens."""
+        """The server's address."""
         return f"127.0.0.1:{self.port}"
 
     def kill(self) -> None:
