--- a/brambleplank/platform/fleet_membership.py
+++ b/brambleplank/platform/fleet_membership.py
@@ -1,9 +1,9 @@
-"""Makes a proxy of the platform a member of its fleet."""
+"""Makes a proxy of the platform a member of a fleet."""
 
 from __future__ import annotations
 
 from brambleplank.checks import InvalidConfigurationError
-from brambleplank.fleet.messages import FORMAT
+from brambleplank.fleet.messages import FORMAT_BYTE
 from brambleplank.fleet.routing.active_routes import RouteTableError
 from brambleplank.fleet.shapes import FleetSettings
 from brambleplank.net.fleet_link import FleetLink
@@ -16,7 +16,7 @@
     Raises InvalidConfigurationError.
     """
     peers = proxy.peer_link
-    assert peers is not None  # checked: without peers there is no fleet
+    assert peers is not None  # configuration.decode refuses a fleet without peers
     first_number = proxy.settings.proxy_number - fleet.number
 
     def send(data: bytes, member: int | None) -> None:
@@ -36,5 +36,5 @@
         raise InvalidConfigurationError(f"fleet.routes: {fleet.routes}: {error}") from None
     proxy.requests.set_fleet_admission(fleet_link)
     peers.add_datagram_handler(
-        FORMAT, lambda data, number: fleet_link.datagram_received(data, number - first_number)
+        FORMAT_BYTE, lambda data, number: fleet_link.datagram_received(data, number - first_number)
     )
--- a/brambleplank/platform/run.py
+++ b/brambleplank/platform/run.py
@@ -1,4 +1,4 @@
-"""One proxy, from the platform's configuration to its exit code."""
+"""Runs one proxy of the platform: reads its configuration, starts it and returns its exit code."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
     from brambleplank.platform.handoff import Handoff
     from brambleplank.platform.takeover import TakeoverResult
 
-INVALID_CONFIGURATION = 2  # exit code, also where an address cannot be listened at
+INVALID_CONFIGURATION = 2  # exit code; also if the proxy cannot listen on one of its addresses
 NO_ADDRESS: Address = ("", 0)
 
 
 class Program:
-    """A proxy of the platform, with its configuration."""
+    """A proxy with its configuration, its listening ports and its handoff to other processes."""
 
     def __init__(self, config: PlatformConfiguration) -> None:
         self.configuration = config
@@ -51,14 +51,14 @@
             LogWriter(clock.now),
             config.settings,
             config.seed,
-            config.descriptors,
+            config.descriptor_limit,
             PingProbe,
         )
         self.proxy.set_drained_callback(self.end)
-        self.limit_descriptors(config.descriptors)
-        self.handoff: Handoff | None = None  # between the processes of this proxy, where there may be several
+        self.limit_descriptors(config.descriptor_limit)
+        self.handoff: Handoff | None = None  # only with operators and TMPDIR: then upgrades are possible
         self.client_port: Any = None
-        self.peer_port: Any = None  # that this process stops reading once the next one has it
+        self.peer_port: Any = None  # not read while a successor reads its copy
         self.discovery = Discovery(self.proxy, config.discovery)
         self.proxy.set_endpoint_source(self.discovery)
         self.connect_peers(config.peers)
@@ -67,16 +67,19 @@
 
             join_fleet(self.proxy, config.fleet, config.seed)
 
-    def limit_descriptors(self, wanted: int) -> None:
-        """The proxy counts on no more than the process may open: with none to spare it accepts nobody."""
-        allowed = raise_descriptor_limit(wanted)
-        if allowed < wanted:
+    def limit_descriptors(self, requested: int) -> None:
+        """Limits the proxy to the descriptors that this process may open.
+
+        A proxy that expected more would run out of descriptors and could accept no client.
+        """
+        allowed = raise_descriptor_limit(requested)
+        if allowed < requested:
             reason = f"RLIMIT_NOFILE lets this process open {allowed} at most"
-            self.proxy.log(f"limits.sockets: {wanted}, but {reason}")
+            self.proxy.log(f"limits.sockets: {requested}, but {reason}")
         self.proxy.admission.set_descriptor_limit(allowed)
 
     def connect_peers(self, peers: PeerConfiguration | None) -> bool:
-        """Sets which proxies this one talks to; returns whether it did not talk to any before."""
+        """Sets the proxies to exchange messages with; returns whether a new peer link was created."""
         proxy = self.proxy
         broadcast = peers.broadcast if peers else NO_ADDRESS
         numbers = peers.numbers if peers else {}
@@ -101,57 +104,57 @@
         return True
 
     def listen_for_peers(self, adopted: socket.socket | None, max_wait: float = MAX_WAIT) -> Any:
-        """Returns the port at which datagrams of other proxies arrive; None where there are none."""
+        """Returns the port that receives datagrams of other proxies, or None if no peers are configured."""
         peers = self.configuration.peers
         if peers is None:
             return None
-        shared = self.configuration.operators is not None
+        shared = self.configuration.operator_address is not None
         return listen_for_peers(self.proxy, peers.listen, adopted, shared, max_wait)
 
     def begin(self) -> None:
-        """Starts the proxy where no operator calls."""
+        """Starts a proxy that has no address for operator commands."""
         self.listen_for_peers(None)
-        self.discovery.apply_initial_list(self.configuration.known)
+        self.discovery.apply_initial_list(self.configuration.initial_list)
         self.client_port = listen_for_clients(self.proxy, self.configuration.listen, None, False)
 
     def begin_with_operators(self, operators: Address) -> None:
-        """Starts the proxy where operators call, and where a process of this proxy may run already."""
-        # Imported only here: a proxy without operators does without all of it.
+        """Starts a proxy with an address for operator commands; takes over from a running process, if any."""
+        # Imported here, so that a proxy without an operator address does not load these modules.
         from brambleplank.platform import handoff, socket_path, takeover
 
         tmp = os.environ.get("TMPDIR")
         listen = self.configuration.listen
         result: TakeoverResult | None = None
         if tmp:
-            path = socket_path.place(tmp, listen, "sock")
-            result = takeover.request(path, self.addresses(operators), self.proxy.log)
+            path = socket_path.runtime_file_path(tmp, listen, "sock")
+            result = takeover.request_takeover(path, self.addresses(operators), self.proxy.log)
             self.handoff = handoff.Handoff(self.proxy, self.discovery, tmp, listen, self.accept_clients)
 
-        def adopted(key: str) -> socket.socket | None:
-            return result.adopt(key) if result else None
+        def adopted_socket(key: str) -> socket.socket | None:
+            return result.take_socket(key) if result else None
 
-        self.peer_port = self.listen_for_peers(adopted("peer_listen"))
+        self.peer_port = self.listen_for_peers(adopted_socket("peer_listen"))
         if self.handoff is None or not self.handoff.restore(result):
-            self.discovery.apply_initial_list(self.configuration.known)
-        self.client_port = listen_for_clients(self.proxy, listen, adopted("listen"), True)
-        operator_port = listen_for_operators(self.proxy, operators, adopted("mgmt"))
+            self.discovery.apply_initial_list(self.configuration.initial_list)
+        self.client_port = listen_for_clients(self.proxy, listen, adopted_socket("listen"), True)
+        operator_port = listen_for_operators(self.proxy, operators, adopted_socket("mgmt"))
         if self.handoff is not None:
             ports = {"listen": self.client_port, "mgmt": operator_port, "peer_listen": self.peer_port}
             for key, address in self.addresses(operators).items():
-                self.handoff.offer(key, address, ports[key].fileno)
+                self.handoff.offer_socket(key, address, ports[key].fileno)
             if result:
-                self.handoff.join(result)
-            self.handoff.listen()
+                self.handoff.adopt_channel(result)
+            self.handoff.listen_for_successor()
 
     def addresses(self, operators: Address) -> dict[str, Address]:
-        """Where this proxy listens, by key of the configuration."""
+        """Returns the addresses on which this proxy listens, by key of the configuration."""
         found = {"listen": self.configuration.listen, "mgmt": operators}
         if self.configuration.peers:
             found["peer_listen"] = self.configuration.peers.listen
         return found
 
     def accept_clients(self, accept: bool) -> None:
-        """Clients, and datagrams of other proxies, come to this process, or to the next one."""
+        """Sets whether this process, or its successor, accepts clients and reads datagrams of proxies."""
         self.proxy.siblings.set_has_successor(not accept)
         self.client_port.set_handed_off(not accept)
         if self.peer_port is None:
@@ -162,28 +165,28 @@
             self.peer_port.stopReading()
 
     def end(self) -> None:
-        """Ends the process; the proxy is drained."""
+        """Ends the process; called when the proxy is drained."""
         if self.handoff is not None:
             self.handoff.end()
         reactor.stop()
 
     def reload(self) -> None:
-        """Reads the file again on SIGHUP, and applies what can change while sessions are established.
+        """Reads the configuration file again on SIGHUP and applies the keys that need no restart.
 
-        A torn or wrong file changes nothing.
+        A truncated or invalid file changes nothing.
         """
         try:
             config = configuration.read(self.configuration)
-        except InvalidConfigurationError as unfit:
-            self.proxy.log(f"reload: kept as it was: {unfit}")
+        except InvalidConfigurationError as invalid:
+            self.proxy.log(f"reload: kept as it was: {invalid}")
             return
         previous = self.configuration
         self.proxy.log(f"reload: {describe_changes(previous.file, config.file)}")
         self.configuration = config
         if config.settings != previous.settings:
             self.proxy.update_settings(config.settings)
-        if config.descriptors != previous.descriptors:
-            self.limit_descriptors(config.descriptors)
+        if config.descriptor_limit != previous.descriptor_limit:
+            self.limit_descriptors(config.descriptor_limit)
         self.reload_peers()
         if config.discovery != previous.discovery:
             self.discovery.change_address(config.discovery)
@@ -191,40 +194,47 @@
             self.proxy.requests.fleet_admission.reload()
 
     def reload_peers(self) -> None:
-        """Talks to the proxies of the configuration from here on."""
+        """Applies the peers of the new configuration."""
         if not self.connect_peers(self.configuration.peers):
             return
         try:
-            self.listen_for_peers(None, max_wait=0.0)  # a wait would hold up every client
-        except error.CannotListenError as cannot:
+            self.listen_for_peers(None, max_wait=0.0)  # waiting would block the reactor, and every client
+        except error.CannotListenError as failure:
             self.proxy.peer_exchange.set_link(None)
-            self.proxy.log(f"reload: peer_listen: {cannot.socketError}: proxies say nothing to each other")
+            self.proxy.log(
+                f"reload: peer_listen: {failure.socketError}; "
+                "no messages are exchanged with peers until a later reload succeeds"
+            )
 
 
 def main() -> int:
     """Runs the proxy until it is drained; returns the exit code."""
-    # A signal before all is set up would end the process, over clients in the kernel's queue from there on.
+    # Until the reactor handles signals, their default action would drop clients in the accept queue.
     early_reload = EarlyReload()
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
     try:
         config = configuration.read()
         program = Program(config)
         signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(program.proxy.stop))
-        if config.operators:
-            program.begin_with_operators(config.operators)
+        if config.operator_address:
+            program.begin_with_operators(config.operator_address)
         else:
             program.begin()
-    except InvalidConfigurationError as unfit:
-        print(f"brambleplank: {unfit}", file=sys.stderr)
+    except InvalidConfigurationError as invalid:
+        print(f"brambleplank: {invalid}", file=sys.stderr)
         return INVALID_CONFIGURATION
-    except error.CannotListenError as cannot:
-        address = (cannot.interface, cannot.port)
+    except error.CannotListenError as failure:
+        address = (failure.interface, failure.port)
         key = "peer_listen"
         if address == config.listen:
             key = "listen"
-        elif address == config.operators:
+        elif address == config.operator_address:
             key = "mgmt"
-        print(f"brambleplank: {key}: {cannot.interface}:{cannot.port}: {cannot.socketError}", file=sys.stderr)
+        print(
+            f"brambleplank: {key}: cannot listen on {failure.interface}:{failure.port}: "
+            f"{failure.socketError}",
+            file=sys.stderr,
+        )
         return INVALID_CONFIGURATION
     log_unhandled_exceptions(program.proxy)
     early_reload.install(program.reload)
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -69,7 +69,7 @@
         }
         self.configuration = configuration.decode(config)
         self.program = Program(self.configuration)
-        self.program.discovery.apply_initial_list(self.configuration.known)
+        self.program.discovery.apply_initial_list(self.configuration.initial_list)
         self.proxy = self.program.proxy
         self.balancer = self.proxy.balancer
         # Accepts any reported connection count, however high.
@@ -192,7 +192,7 @@
     for _ in range(server_observations.FAILURES_TO_REPORT):
         for name in ("s-0003", "s-0001"):
             admission.attempt_finished(sender.servers[name], False)
-    good, bad = admission.fleet.server_observer.recent_opinions(sender.proxy.clock.now())
+    good, bad = admission.fleet.server_observer.recent_observations(sender.proxy.clock.now())
     assert good == [] and len(bad) == 1
 
 
@@ -355,7 +355,7 @@
     assert {member.coverage(simulation.now).reachable for member in simulation.members} == {PROCESSES}
     assert all(member.has_lease(simulation.now) for member in simulation.members)
     for member in simulation.members:
-        member.counts.note(1, "feed", "acme", "v1")
+        member.counts.increment(1, "feed", "acme", "v1")
     tags = simulation.tags()
     failing_tags = tags[::5][:200]
     for member in simulation.members[1:4]:
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -14,7 +14,7 @@
 
 from benchmarks.fleet_simulation import FleetSimulation, SimulatedMember, play_random_faults
 from brambleplank.fleet import messages
-from brambleplank.fleet.errors import BrokenError
+from brambleplank.fleet.errors import InvariantError
 from brambleplank.fleet.routing import route_table
 from brambleplank.fleet.routing.lint import LintContext, lint
 from brambleplank.fleet.versions import proposer
@@ -187,7 +187,7 @@
 
         def apply(number: int, digest: int) -> None:
             if self.text_by_version.setdefault(number, digest) != digest:
-                raise BrokenError(f"version {number} has two texts", "versions")
+                raise InvariantError(f"version {number} has two texts", "versions")
             self.history[node.number].append((node.start_number, number))
 
         agreement = VersionAgreement(
@@ -324,7 +324,7 @@
     simulation.links = type(simulation.links)()
     simulation.run(60)
     if len(simulation.digests()) != 1:
-        raise BrokenError(f"{len(simulation.digests())} texts after the heal", "versions")
+        raise InvariantError(f"{len(simulation.digests())} texts after the heal", "versions")
 
 
 @pytest.mark.parametrize("first", range(0, 160, 20))
@@ -332,7 +332,7 @@
     for seed in range(first, first + 20):
         try:
             play_version_faults(seed)
-        except BrokenError as broken:
+        except InvariantError as broken:
             raise AssertionError(f"play_version_faults({seed})") from broken
 
 
@@ -342,7 +342,7 @@
     The checks of the simulation must detect it.
     """
     monkeypatch.setattr(Proposer, "recover", lambda self, now: setattr(self, "recovered", True))
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantError):
         for seed in range(60):
             play_version_faults(seed)
 
