--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -35,8 +35,8 @@
     QueryMetadata,
 )
 from brambleplank.emulator.clients import Client, RequestRecord
-from brambleplank.emulator.consul import Member, StandInConsul
-from brambleplank.emulator.servers import StandIn
+from brambleplank.emulator.consul import ServiceInstance, StandInConsul
+from brambleplank.emulator.servers import StandInServer
 from brambleplank.model import EndpointStatus
 from brambleplank.settings import decode_settings
 from brambleplank.sidecar import writer
@@ -65,7 +65,7 @@
 
     def __init__(self, port: int, count: int) -> None:
         self.port, self.count = port, count
-        self.servers = [StandIn(f"s{n}") for n in range(4)]
+        self.servers = [StandInServer(f"s{n}") for n in range(4)]
         self.times = HdrHistogram(1, 10_000_000, 3)
         self.late_drains = 0
         self.rng = random.Random(1)
@@ -86,7 +86,7 @@
             at = time.time()
             change(server.name, True)
             await asyncio.sleep(SETTLING_TIME + self.rng.uniform(0, 0.1))
-            last = server.openings[-1].at - at if server.openings else 0.0
+            last = server.open_records[-1].at - at if server.open_records else 0.0
             self.times.record_value(max(1, round(last * 1e6)))
             self.late_drains += last > FILE.drain.window
             change(server.name, False)
@@ -106,7 +106,7 @@
             agent = StandInConsul()
             await agent.listen()
             for server in drains.servers:
-                agent.change("feeds", Member(server.name, server.address))
+                agent.update_service("feeds", ServiceInstance(server.name, server.address))
             assert FILE.consul
             FILE.consul.agents = [agent.address]
             (folder / "b.toml").write_text(writer.text(FILE))
@@ -114,7 +114,7 @@
 
             def change(name: str, drain: bool, agent: StandInConsul = agent) -> None:
                 agent.services["feeds"][name].maintenance = drain
-                agent.touch("feeds")
+                agent.mark_changed("feeds")
         else:
             discovery = StandInDiscovery({server.name: server.address for server in drains.servers})
             await discovery.listen()
@@ -167,14 +167,16 @@
 
 def cpu_per_change(count: int, rounds: int = 60) -> tuple[float, float, float]:
     """Returns CPU milliseconds per changed server of `count`: decoding, evaluating health, the ring."""
-    members = [Member(f"x{n}", f"127.0.{n // 250}.{n % 250 + 1}:7501", "abc"[n % 3]) for n in range(count)]
+    members = [
+        ServiceInstance(f"x{n}", f"127.0.{n // 250}.{n % 250 + 1}:7501", "abc"[n % 3]) for n in range(count)
+    ]
     null_host: Any = NullHost()
     balancer = Balancer(null_host, decode_settings(platform_settings(FILE), sockets=True), 1)
     catalog, reader = Catalog(HealthSettings()), answers.AnswerDecoder(answers.MetadataKeys())
     spent = [0.0, 0.0, 0.0]
     for round_number in range(rounds + 1):
         members[round_number % count].maintenance = round_number % 2 == 1
-        body = json.dumps([member.item() for member in members]).encode()
+        body = json.dumps([member.health_entry() for member in members]).encode()
         times = [time.process_time()]
         instances, _ = reader.decode(body)
         times.append(time.process_time())
--- a/brambleplank/emulator/consul.py
+++ b/brambleplank/emulator/consul.py
@@ -1,7 +1,8 @@
-"""A stand-in Consul agent on loopback: health of services by blocking queries, and scripted faults.
+"""A stand-in Consul agent on loopback: answers health queries, also blocking ones, and injects faults.
 
-Written from the published HTTP API: `X-Consul-Index`, `index` and `wait`, `X-Consul-KnownLeader`,
-`X-Consul-LastContact`, tokens, 403, 429 and 500. It is slow, torn, behind or gone when its script says so.
+It follows the published HTTP API: `X-Consul-Index`, `index` and `wait`, `X-Consul-KnownLeader`,
+`X-Consul-LastContact`, tokens, 403, 429 and 500. A script can delay or truncate its answers, reset its
+index or stop the agent.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 
 from brambleplank.tables import parse_seconds
 
-LONGEST_WAIT = 600.0
-LARGEST_HEAD = 16 * 1024
+MAX_WAIT = 600.0  # seconds
+MAX_HEAD_SIZE = 16 * 1024  # bytes
 
 
 @dataclass
-class Member:
-    """One server as the catalogue has it."""
+class ServiceInstance:
+    """One instance of a service in the catalogue."""
 
     id: str
     address: str
@@ -31,8 +32,8 @@
     meta: dict[str, str] = field(default_factory=dict)
     weights: dict[str, int] | None = None
 
-    def item(self) -> dict[str, Any]:
-        """Returns it as a health query answers."""
+    def health_entry(self) -> dict[str, Any]:
+        """Returns the entry for it in the answer to a health query."""
         host, _, port = self.address.rpartition(":")
         checks = [
             {"CheckID": "serfHealth", "Status": "passing"},
@@ -48,104 +49,105 @@
 
 
 class StandInConsul:
-    """One agent; its catalogue may be shared with others, which may lag behind it."""
+    """One agent. Agents may share a catalogue; each has its own index, which may lag behind."""
 
     def __init__(self) -> None:
-        self.services: dict[str, dict[str, Member]] = {}
+        self.services: dict[str, dict[str, ServiceInstance]] = {}
         self.index = 1
         self.changed_at: dict[str, int] = {}
-        self.leader = True
-        self.contact_ms = 0
-        self.token = ""  # the one that it takes; "": any
-        self.statuses: list[int] = []  # what the next answers are instead
-        self.torn = 0  # so many next answers end in the middle
-        self.slow = 0.0  # seconds before each answer
-        self.answers = 0
+        self.has_leader = True
+        self.last_contact_ms = 0
+        self.token = ""  # the token that queries need; empty: any
+        self.next_statuses: list[int] = []  # statuses of the next answers; 200 when empty
+        self.truncated_answers = 0  # how many of the next answers are cut off in the middle
+        self.answer_delay = 0.0  # seconds before each answer
+        self.answer_count = 0
         self.port = 0
         self.listener: asyncio.Server | None = None
-        self.open: set[asyncio.StreamWriter] = set()
-        self.serving: set[asyncio.Task[Any]] = set()  # one for each connection
-        self.turned = asyncio.Event()
+        self.open_connections: set[asyncio.StreamWriter] = set()
+        self.connection_tasks: set[asyncio.Task[Any]] = set()  # one per connection
+        self.changed = asyncio.Event()
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The agent's address."""
         return f"127.0.0.1:{self.port}"
 
     async def listen(self) -> None:
-        """Listens; after a stop, at the same port."""
-        self.turned = asyncio.Event()
+        """Starts listening; after a stop, on the same port."""
+        self.changed = asyncio.Event()
         self.listener = await asyncio.start_server(self.serve, "127.0.0.1", self.port)
         self.port = self.listener.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
-        """The agent goes: whoever waits loses its connection."""
+        """Stops listening and resets all connections, also those of waiting queries."""
         if self.listener:
             self.listener.close()
             self.listener = None
-        for writer in list(self.open):
+        for writer in list(self.open_connections):
             writer.transport.abort()
-        self.turned.set()
+        self.changed.set()
 
     async def close(self) -> None:
-        """The agent goes for good. What waits for a change in its catalogue has ended when this returns.
+        """Stops the agent, then cancels the tasks of its connections and waits for their end.
 
-        After `stop` alone, a loop that ends at once would destroy those tasks while they are pending.
+        After `stop` alone, tasks that wait for a change of the catalogue are still pending, and an event loop
+        that ends at once would destroy them.
         """
         self.stop()
-        serving = list(self.serving)
-        for task in serving:
+        tasks = list(self.connection_tasks)
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*serving, return_exceptions=True)
-
-    def change(self, service: str, member: Member | None = None, drop: str = "") -> None:
-        """A member is put in, or dropped; whoever waits on the service is answered."""
-        members = self.services.setdefault(service, {})
-        if member:
-            members[member.id] = member
-        members.pop(drop, None)
-        self.touch(service)
-
-    def touch(self, service: str) -> None:
-        """Notes a change of a service; whoever waits on it is answered."""
+        await asyncio.gather(*tasks, return_exceptions=True)
+
+    def update_service(self, service: str, instance: ServiceInstance | None = None, drop: str = "") -> None:
+        """Adds or replaces an instance, or removes the one with id `drop`, and answers waiting queries."""
+        instances = self.services.setdefault(service, {})
+        if instance:
+            instances[instance.id] = instance
+        instances.pop(drop, None)
+        self.mark_changed(service)
+
+    def mark_changed(self, service: str) -> None:
+        """Advances the index for a changed service, so that queries that wait for it are answered."""
         self.index += 1
         self.changed_at[service] = self.index
-        turned = self.turned
-        self.turned = asyncio.Event()
-        turned.set()
+        changed = self.changed
+        self.changed = asyncio.Event()
+        changed.set()
 
-    def go_back(self, index: int) -> None:
-        """As a restored or restarted one does: it counts from a lower index."""
+    def reset_index(self, index: int) -> None:
+        """Sets a lower index, as an agent has after a restart or a restore."""
         self.index = index
         self.changed_at = dict.fromkeys(self.services, index)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answers the queries of one connection."""
-        self.open.add(writer)
+        self.open_connections.add(writer)
         task = asyncio.current_task()
         assert task is not None
-        self.serving.add(task)
-        task.add_done_callback(self.serving.discard)
+        self.connection_tasks.add(task)
+        task.add_done_callback(self.connection_tasks.discard)
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 await self.answer(head.decode("latin-1"), writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, asyncio.CancelledError):
-            pass  # the client went, or whoever started this ends
+            pass  # the client has disconnected, or the agent is closing
         finally:
-            self.open.discard(writer)
+            self.open_connections.discard(writer)
             writer.close()
 
     async def answer(self, head: str, writer: asyncio.StreamWriter) -> None:
-        """Answers one query, a blocking one once its service has changed or its time is up."""
+        """Answers one query; a blocking query when its service has changed or its wait time is over."""
         first, *lines = head.split("\r\n")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
         target = urlsplit(first.split(" ")[1])
         query = {key: value[0] for key, value in parse_qs(target.query, keep_blank_values=True).items()}
         service = unquote(target.path.rsplit("/", 1)[-1])
-        if self.slow:
-            await asyncio.sleep(self.slow)
-        status = self.statuses.pop(0) if self.statuses else 200
+        if self.answer_delay:
+            await asyncio.sleep(self.answer_delay)
+        status = self.next_statuses.pop(0) if self.next_statuses else 200
         if self.token and headers.get("x-consul-token") != self.token:
             status = 403
         is_blocking = status == 200 and "index" in query
@@ -156,38 +158,38 @@
     async def wait_for_change(
         self, service: str, query: dict[str, str], writer: asyncio.StreamWriter
     ) -> bool:
-        """Waits until a service has changed since the query's index, or its time is up.
+        """Waits until the service has changed since the query's index, or the wait time is over.
 
-        Returns False if the client has left.
+        Returns False if the client has disconnected.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + min(LONGEST_WAIT, parse_seconds(query.get("wait", "300s")) or 300.0)
+        deadline = loop.time() + min(MAX_WAIT, parse_seconds(query.get("wait", "300s")) or 300.0)
         while self.changed_at.get(service, 1) <= int(query["index"]):
             if writer.is_closing():
                 return False
-            left = until - loop.time()
-            if left <= 0:
+            remaining = deadline - loop.time()
+            if remaining <= 0:
                 break
             try:
-                await asyncio.wait_for(self.turned.wait(), left)
+                await asyncio.wait_for(self.changed.wait(), remaining)
             except asyncio.TimeoutError:  # noqa: UP041
                 break
         return True
 
     async def send(self, status: int, service: str, writer: asyncio.StreamWriter) -> None:
-        """Sends the answer, or half of it."""
-        items = [member.item() for member in self.services.get(service, {}).values()]
+        """Sends the answer, or the first half of it if it is to be truncated."""
+        items = [instance.health_entry() for instance in self.services.get(service, {}).values()]
         body = json.dumps(items).encode() if status == 200 else b"no\n"
         head = (
             f"HTTP/1.1 {status} -\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n"
             f"X-Consul-Index: {self.changed_at.get(service, 1)}\r\n"
-            f"X-Consul-KnownLeader: {'true' if self.leader else 'false'}\r\n"
-            f"X-Consul-LastContact: {self.contact_ms}\r\n\r\n"
+            f"X-Consul-KnownLeader: {'true' if self.has_leader else 'false'}\r\n"
+            f"X-Consul-LastContact: {self.last_contact_ms}\r\n\r\n"
         )
-        self.answers += 1
+        self.answer_count += 1
         writer.write(head.encode())
-        if self.torn and status == 200:
-            self.torn -= 1
+        if self.truncated_answers and status == 200:
+            self.truncated_answers -= 1
             writer.write(body[: len(body) // 2])
             await writer.drain()
             writer.transport.abort()
@@ -196,11 +198,11 @@
         await writer.drain()
 
 
-# Scripts: what is done to an agent, and when.
+# Scripts: timed changes to an agent and its catalogue.
 
 STATUSES = ("passing", "warning", "critical")
 MAINTENANCE = ("maintain", "lift")
-DOINGS = (
+STEP_ACTIONS = (
     "register",
     "deregister",
     "passing",
@@ -221,66 +223,71 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One thing done at one time."""
+    """One step of a script: an action at a time."""
 
-    at: float
-    do: str
+    at: float  # seconds from the start of the script
+    action: str
     service: str = ""
     server: str = ""
-    more: dict[str, Any] = field(default_factory=dict)
+    arguments: dict[str, Any] = field(default_factory=dict)
 
 
-def script(text: str) -> list[Step]:
-    """The steps of a TOML file of [[step]] tables, in their order. Raises ValueError, naming the step."""
+def parse_script(text: str) -> list[Step]:
+    """Returns the steps of a TOML text with [[step]] tables, sorted by time.
+
+    Raises ValueError, which names the step, if one is malformed.
+    """
     steps = []
-    for n, each in enumerate(tomllib.loads(text).get("step", []), 1):
-        at = parse_seconds(str(each.get("at", "")))
-        if at is None or each.get("do") not in DOINGS:
-            raise ValueError(f"step[{n}]: need at = a time, do = one of {', '.join(DOINGS)}")
-        more = {key: value for key, value in each.items() if key not in ("at", "do", "service", "server")}
-        steps.append(Step(at, each["do"], each.get("service", ""), each.get("server", ""), more))
+    for n, entry in enumerate(tomllib.loads(text).get("step", []), 1):
+        at = parse_seconds(str(entry.get("at", "")))
+        if at is None or entry.get("do") not in STEP_ACTIONS:
+            raise ValueError(f"step[{n}]: needs at = a duration and do = one of {', '.join(STEP_ACTIONS)}")
+        arguments = {
+            key: value for key, value in entry.items() if key not in ("at", "do", "service", "server")
+        }
+        steps.append(Step(at, entry["do"], entry.get("service", ""), entry.get("server", ""), arguments))
     return sorted(steps, key=lambda step: step.at)
 
 
-async def play(agent: StandInConsul, steps: list[Step]) -> None:
-    """Plays a script from now on."""
+async def run_script(agent: StandInConsul, steps: list[Step]) -> None:
+    """Runs a script; its times count from now."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started = loop.time()
     for step in steps:
-        await asyncio.sleep(max(0.0, began + step.at - loop.time()))
-        await do(agent, step)
-
-
-async def do(agent: StandInConsul, step: Step) -> None:
-    """Does one step to an agent."""
-    member = agent.services.get(step.service, {}).get(step.server)
-    if step.do == "register":
-        agent.change(step.service, Member(step.server, **step.more))
-    elif step.do == "deregister":
-        agent.change(step.service, drop=step.server)
-    elif member and step.do in (*STATUSES, *MAINTENANCE):
-        if step.do in STATUSES:
-            member.status = step.do
+        await asyncio.sleep(max(0.0, started + step.at - loop.time()))
+        await apply_step(agent, step)
+
+
+async def apply_step(agent: StandInConsul, step: Step) -> None:
+    """Applies one step to an agent."""
+    instance = agent.services.get(step.service, {}).get(step.server)
+    if step.action == "register":
+        agent.update_service(step.service, ServiceInstance(step.server, **step.arguments))
+    elif step.action == "deregister":
+        agent.update_service(step.service, drop=step.server)
+    elif instance and step.action in (*STATUSES, *MAINTENANCE):
+        if step.action in STATUSES:
+            instance.status = step.action
         else:
-            member.maintenance = step.do == "maintain"
-        agent.touch(step.service)
-    elif step.do == "stop":
+            instance.maintenance = step.action == "maintain"
+        agent.mark_changed(step.service)
+    elif step.action == "stop":
         agent.stop()
-    elif step.do == "start":
+    elif step.action == "start":
         await agent.listen()
     else:
-        disturb(agent, step)
-
-
-def disturb(agent: StandInConsul, step: Step) -> None:
-    """Changes how an agent answers."""
-    if step.do == "go_back":
-        agent.go_back(int(step.more.get("index", 1)))
-    elif step.do in ("leader", "no_leader"):
-        agent.leader = step.do == "leader"
-    elif step.do == "statuses":
-        agent.statuses = list(step.more.get("list", [500]))
-    elif step.do == "torn":
-        agent.torn = int(step.more.get("count", 1))
-    elif step.do == "slow":
-        agent.slow = parse_seconds(str(step.more.get("by", "0s"))) or 0.0
+        apply_fault(agent, step)
+
+
+def apply_fault(agent: StandInConsul, step: Step) -> None:
+    """Applies a step that changes how an agent answers."""
+    if step.action == "go_back":
+        agent.reset_index(int(step.arguments.get("index", 1)))
+    elif step.action in ("leader", "no_leader"):
+        agent.has_leader = step.action == "leader"
+    elif step.action == "statuses":
+        agent.next_statuses = list(step.arguments.get("list", [500]))
+    elif step.action == "torn":
+        agent.truncated_answers = int(step.arguments.get("count", 1))
+    elif step.action == "slow":
+        agent.answer_delay = parse_seconds(str(step.arguments.get("by", "0s"))) or 0.0
--- a/brambleplank/emulator/servers.py
+++ b/brambleplank/emulator/servers.py
@@ -1,6 +1,6 @@
-"""Stand-in servers of the line protocol, many in one process, that keep a record of each OPEN.
+"""Stand-in servers of the line protocol that record each OPEN; one process can run many.
 
-They listen on loopback only, at ports that the kernel chooses.
+They listen on loopback only, on ports that the kernel chooses.
 """
 
 from __future__ import annotations
@@ -12,51 +12,51 @@
 from typing import Any
 
 OPEN_LINE = re.compile(rb"OPEN ([0-9a-fA-F]+) ([0-9a-fA-F]+) (\S+)")
-LONGEST_LINE = 4096
+MAX_LINE_LENGTH = 4096  # bytes
 
 
 @dataclass(frozen=True)
-class Opening:
-    """One OPEN as a server had it."""
+class OpenRecord:
+    """One OPEN as a server received it."""
 
     at: float  # Unix time, seconds
-    flow: str
+    request_id: str
     service_type: str
     server: str
 
 
-class StandIn:
-    """One server: it listens, answers and remembers."""
+class StandInServer:
+    """One server: it listens, answers and records each OPEN."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.answer = b"UP"  # the word it answers an OPEN with; b"" for silence
-        self.delay = 0.0  # seconds it takes for that
-        self.openings: list[Opening] = []
-        self.connections: set[Conversation] = set()
+        self.open_reply = b"UP"  # the reply to an OPEN, with an argument after UP; empty: no reply
+        self.reply_delay = 0.0  # seconds before that reply
+        self.open_records: list[OpenRecord] = []
+        self.connections: set[ServerConnection] = set()
         self.listener: asyncio.Server | None = None
         self.port = 0
 
     async def listen(self) -> None:
-        """Listens, after the first time at the same port."""
+        """Starts listening; after a restart, on the same port."""
         loop = asyncio.get_running_loop()
-        self.listener = await loop.create_server(lambda: Conversation(self), "127.0.0.1", self.port)
+        self.listener = await loop.create_server(lambda: ServerConnection(self), "127.0.0.1", self.port)
         self.port = self.listener.sockets[0].getsockname()[1]
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The server's address."""
         return f"127.0.0.1:{self.port}"
 
     def kill(self) -> None:
-        """Behaves as if its process had died: connections are reset, and nobody listens."""
+        """Behaves as if its process had been killed: resets its connections and stops listening."""
         if self.listener:
             self.listener.close()
         for each in list(self.connections):
             each.transport.abort()
 
-    def finish(self) -> None:
-        """Ends as a drained server does: sessions get BYE, and nobody listens."""
+    def shut_down(self) -> None:
+        """Shuts down as a drained server does: ends its sessions with BYE and stops listening."""
         if self.listener:
             self.listener.close()
         for each in list(self.connections):
@@ -65,55 +65,57 @@
             each.transport.close()
 
 
-class Conversation(asyncio.Protocol):
-    """One connection to a stand-in."""
+class ServerConnection(asyncio.Protocol):
+    """One connection to a stand-in server."""
 
     transport: Any
 
-    def __init__(self, server: StandIn) -> None:
+    def __init__(self, server: StandInServer) -> None:
         self.server = server
-        self.unread = b""
+        self.buffer = b""
         self.is_established = False
 
     def connection_made(self, transport: Any) -> None:
-        """Notes the connection."""
+        """Adds the connection to those of the server."""
         self.transport = transport
         self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  the base class's argument
-        """Forgets the connection."""
+        """Removes the connection from those of the server."""
         self.server.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Cuts what came into lines; a line without end breaks the connection."""
-        *lines, self.unread = (self.unread + data).split(b"\r\n")
+        """Splits the received data into lines; resets the connection if an unfinished line is too long."""
+        *lines, self.buffer = (self.buffer + data).split(b"\r\n")
         for line in lines:
             self.line_received(line)
-        if len(self.unread) > LONGEST_LINE:
+        if len(self.buffer) > MAX_LINE_LENGTH:
             self.transport.abort()
 
     def line_received(self, line: bytes) -> None:
-        """Answers a probe or an OPEN, and sends the lines of a session back."""
+        """Answers a probe or an OPEN, and echoes the lines of a session."""
         if self.is_established:
             self.send_line(line)
         elif line == b"PING":
             self.send_line(b"PONG")
         elif match := OPEN_LINE.fullmatch(line):
             fields = dict(part.split(b"=", 1) for part in match[3].split(b",") if b"=" in part)
-            kind = fields.get(b"c", b"").decode(errors="replace")
-            self.server.openings.append(Opening(time.time(), match[1].decode(), kind, self.server.name))
-            if self.server.answer:
-                asyncio.get_running_loop().call_later(self.server.delay, self.answer)
+            service_type = fields.get(b"c", b"").decode(errors="replace")
+            self.server.open_records.append(
+                OpenRecord(time.time(), match[1].decode(), service_type, self.server.name)
+            )
+            if self.server.open_reply:
+                asyncio.get_running_loop().call_later(self.server.reply_delay, self.reply_to_open)
         else:
             self.send_line(b"SYNTAX")
             self.transport.close()
 
-    def answer(self) -> None:
-        """Answers the OPEN, unless its client has left."""
+    def reply_to_open(self) -> None:
+        """Replies to the OPEN, unless the connection is closing."""
         if self.transport.is_closing():
             return
-        word = self.server.answer
-        self.send_line(b"UP r%d" % len(self.server.openings) if word == b"UP" else word)
+        word = self.server.open_reply
+        self.send_line(b"UP r%d" % len(self.server.open_records) if word == b"UP" else word)
         self.is_established = word == b"UP"
         if not self.is_established:
             self.transport.close()
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from brambleplank.cli import main
-from brambleplank.emulator.consul import Member, StandInConsul, Step, do
+from brambleplank.emulator.consul import ServiceInstance, StandInConsul, Step, apply_step
 from brambleplank.sidecar.shapes import Consul, File
 from brambleplank.tables import Seconds
 from tests.programs import Program, Sidecar
@@ -42,7 +42,7 @@
         asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(TEST_TIMEOUT)
 
     def apply(self, agent: StandInConsul, what: str, server: str = "", **options: Any) -> float:
-        self.run(do(agent, Step(0.0, what, "feeds", server, options)))
+        self.run(apply_step(agent, Step(0.0, what, "feeds", server, options)))
         return time.monotonic()
 
     def close(self) -> None:
@@ -174,7 +174,7 @@
     servers = [StandInServer("UP 0"), StandInServer("UP 1")]
     second.services = first.services
     register_servers(agents, first, *servers)
-    second.go_back(first.index)
+    second.reset_index(first.index)
     first.token = second.token = "old"
     (tmp_path / "token").write_text("old\n")
     program = start_consul_sidecar(consul_config(first, second, token_file=str(tmp_path / "token")))
@@ -209,24 +209,25 @@
 ) -> None:
     agent, real = agents.start_agent(), StandInServer()
     members = {
-        f"x{n}": Member(f"x{n}", f"127.0.{n // 250}.{n % 250 + 2}:9", maintenance=True) for n in range(2000)
+        f"x{n}": ServiceInstance(f"x{n}", f"127.0.{n // 250}.{n % 250 + 2}:9", maintenance=True)
+        for n in range(2000)
     }
-    members["s0"] = Member("s0", real.address)
+    members["s0"] = ServiceInstance("s0", real.address)
     agent.services["feeds"] = members
-    agent.touch("feeds")
+    agent.mark_changed("feeds")
     program = start_consul_sidecar(consul_config(agent))
     assert program.open_request().read_line() == "UP r1"
 
     async def change() -> None:
         for n in range(600):
             members[f"x{n}"].meta["size"] = "2"
-            agent.touch("feeds")
+            agent.mark_changed("feeds")
             await asyncio.sleep(0.005)
 
-    began, before, answered = time.monotonic(), cpu_seconds(program), agent.answers
+    began, before, answered = time.monotonic(), cpu_seconds(program), agent.answer_count
     agents.run(change())
     elapsed = time.monotonic() - began
-    lists = agent.answers - answered
+    lists = agent.answer_count - answered
     assert lists <= elapsed / 0.1 + 2
     assert cpu_seconds(program) - before < elapsed  # less than one core
     assert answers_to_requests(program, 5) == ["UP r1"] * 5
@@ -246,11 +247,11 @@
     assert program.open_request().read_line() == "UP r1"
     agents.apply(agent, "no_leader")
     agents.apply(agent, "passing", "s0")  # completes the pending blocking query
-    before, until = agent.answers, time.monotonic() + 3.0
+    before, until = agent.answer_count, time.monotonic() + 3.0
     while time.monotonic() < until:
         answers_to_requests(program, 1)
         time.sleep(0.05)
-    assert agent.answers - before <= 6
+    assert agent.answer_count - before <= 6
     assert program.open_request().read_line() == "UP r1"
 
 
