--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -108,7 +108,7 @@
                 agent.change("feeds", Member(server.name, server.address))
             assert FILE.consul
             FILE.consul.agents = [agent.address]
-            (folder / "b.toml").write_text(writer.text(FILE))
+            (folder / "b.toml").write_text(writer.file_text(FILE))
             command = [sys.executable, "-m", "brambleplank.cli", "run", str(folder / "b.toml")]
 
             def change(name: str, drain: bool, agent: StandInConsul = agent) -> None:
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -149,7 +149,7 @@
         limits=Limits(HELD, descriptors_for(HELD, 0), Size(512 * 1024**2)),
         servers=Servers("b.servers.toml"),
     )
-    (folder / "b.toml").write_text(writer.text(file))
+    (folder / "b.toml").write_text(writer.file_text(file))
     began = time.perf_counter()
     process = subprocess.Popen(
         [sys.executable, "-m", "brambleplank.cli", "run", str(folder / "b.toml")],
@@ -181,7 +181,7 @@
         limits=Limits(memory=Size(256 * 1024**2)),
         servers=Servers("many.servers.toml"),
     )
-    (folder / "many.toml").write_text(writer.text(file))
+    (folder / "many.toml").write_text(writer.file_text(file))
     times = []
     for _ in range(7):
         began = time.perf_counter()
--- a/brambleplank/addresses.py
+++ b/brambleplank/addresses.py
@@ -7,11 +7,11 @@
 
 from brambleplank.model import Address
 
-LOCAL = {"localhost": "127.0.0.1", "localhost.localdomain": "127.0.0.1", "ip6-localhost": "::1"}
+LOCALHOST_ADDRESSES = {"localhost": "127.0.0.1", "localhost.localdomain": "127.0.0.1", "ip6-localhost": "::1"}
 
 
 @lru_cache(4096)
-def read(text: str) -> Address | None:
+def parse(text: str) -> Address | None:
     """Returns host and port of "127.0.0.1:7400", "[::1]:7400" or "localhost:7400"; None if it is no address.
 
     A name other than localhost is none: a look-up can hang, or change under established sessions.
@@ -23,27 +23,27 @@
         host = host[1:-1]
     elif ":" in host:
         return None
-    found = ip(host)
+    found = parse_ip(host)
     return (str(found), int(port)) if found else None
 
 
-def ip(host: str) -> IPv4Address | IPv6Address | None:
+def parse_ip(host: str) -> IPv4Address | IPv6Address | None:
     """Returns the address that a host stands for, whichever way it is written; None if it is a name."""
     try:
-        found = ip_address(LOCAL.get(host.lower().rstrip("."), host))
+        found = ip_address(LOCALHOST_ADDRESSES.get(host.lower().rstrip("."), host))
     except ValueError:
         return None
     mapped = getattr(found, "ipv4_mapped", None)
     return mapped or found
 
 
-def on_loopback(host: str) -> bool:
+def is_loopback(host: str) -> bool:
     """Whether a host is this machine's own loopback."""
-    found = ip(host)
+    found = parse_ip(host)
     return found is not None and found.is_loopback
 
 
-def meets(listener: Address, other: Address) -> bool:
+def listener_accepts(listener: Address, other: Address) -> bool:
     """Whether a connection to the other address would come in at the listener.
 
     A listener on every address (0.0.0.0 or ::) takes in what comes to any of this machine's own; of these
@@ -51,8 +51,8 @@
     """
     if listener[1] != other[1]:
         return False
-    here = ip(listener[0])
-    there = ip(other[0])
+    here = parse_ip(listener[0])
+    there = parse_ip(other[0])
     if here is None or there is None:
         return listener[0] == other[0]
     if here.is_unspecified:
@@ -60,6 +60,6 @@
     return here == there or (there.is_unspecified and here.is_loopback)
 
 
-def text(address: Address) -> str:
+def to_text(address: Address) -> str:
     """Returns an address as files write it."""
     return f"[{address[0]}]:{address[1]}" if ":" in address[0] else f"{address[0]}:{address[1]}"
--- a/brambleplank/checks.py
+++ b/brambleplank/checks.py
@@ -73,7 +73,7 @@
         super().__init__(wrong, where)
 
 
-def address(text: Any, key: str) -> tuple[str, int]:
+def parse_address(text: Any, key: str) -> tuple[str, int]:
     """Returns host and port of a text like 10.0.0.4:5000. Raises InvalidConfigurationError."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
@@ -83,14 +83,14 @@
 
 def check_settings(settings: Any) -> None:
     """Raises InvalidConfigurationError unless each setting that is read is as it needs to be."""
-    need(settings, "settings", dict)
+    check_value(settings, "settings", dict)
     for key in REQUIRED:
         check_required(settings, key)
     for key in OPTIONAL:
         above, _, name = key.path.rpartition(".")
         table = settings.get(above) or {} if above else settings
         if table.get(name) is not None:
-            need(table[name], f"settings.{key.path}", key.kind, key.least)
+            check_value(table[name], f"settings.{key.path}", key.kind, key.least)
     check_mode(settings)
     check_proxy_number(settings)
     check_tenants(settings)
@@ -102,12 +102,12 @@
     value: Any = settings
     at = "settings"
     for part in key.path.split("."):
-        need(value, at, dict)
+        check_value(value, at, dict)
         at = f"{at}.{part}"
         if part not in value:
             raise InvalidConfigurationError(f"{at}: missing")
         value = value[part]
-    need(value, at, key.kind, key.least)
+    check_value(value, at, key.kind, key.least)
 
 
 def check_mode(settings: dict[str, Any]) -> None:
@@ -131,10 +131,10 @@
 def check_tenants(settings: dict[str, Any]) -> None:
     """Raises InvalidConfigurationError for a tenant without a name."""
     tenants = settings.get("tenants") or []
-    need(tenants, "settings.tenants", list)
+    check_value(tenants, "settings.tenants", list)
     for number, tenant in enumerate(tenants):
-        need(tenant, f"settings.tenants[{number}]", dict)
-        need(tenant.get("name"), f"settings.tenants[{number}].name", str)
+        check_value(tenant, f"settings.tenants[{number}]", dict)
+        check_value(tenant.get("name"), f"settings.tenants[{number}].name", str)
 
 
 def check_traffic_classes(traffic_classes: list[Any]) -> None:
@@ -144,11 +144,11 @@
     names: list[str] = []
     for number, traffic_class in enumerate(traffic_classes):
         at = f"settings.service_types[{number}]"
-        need(traffic_class, at, dict)
+        check_value(traffic_class, at, dict)
         for key in REQUIRED_OF_TRAFFIC_CLASS:
             if key.path not in traffic_class:
                 raise InvalidConfigurationError(f"{at}.{key.path}: missing")
-            need(traffic_class[key.path], f"{at}.{key.path}", key.kind, key.least)
+            check_value(traffic_class[key.path], f"{at}.{key.path}", key.kind, key.least)
         effect = traffic_class["effect"]
         if effect not in IDEMPOTENCY_BY_NAME:
             known = ", ".join(IDEMPOTENCY_BY_NAME)
@@ -159,7 +159,7 @@
         names.append(name)
 
 
-def need(value: Any, key: str, kind: type, least: float = 0) -> None:
+def check_value(value: Any, key: str, kind: type, least: float = 0) -> None:
     """Raises InvalidConfigurationError unless the value is of the type, and a number not under `least`."""
     is_of_kind = isinstance(value, (int, float) if kind is float else kind)
     if not is_of_kind or (kind is not bool and value is True):
--- a/brambleplank/cli/check_command.py
+++ b/brambleplank/cli/check_command.py
@@ -50,7 +50,7 @@
 
 def judge(file: str) -> JudgedFile:
     """Reads a sidecar's file, or a list of servers."""
-    text = reader.text_of(file)
+    text = reader.read_text(file)
     if isinstance(text, str) and server_file.is_server_file(text):
         reading, servers = server_file.parse(text)
         return JudgedFile(sorted(reading.faults), servers, None)
@@ -76,8 +76,8 @@
     return {
         "file": file,
         "good": not judged.faults,
-        "faults": [fault.plain() for fault in judged.faults],
-        "changes": [change.plain() for change in changes],
+        "faults": [fault.to_dict() for fault in judged.faults],
+        "changes": [change.to_dict() for change in changes],
     }
 
 
--- a/brambleplank/cli/convert_command.py
+++ b/brambleplank/cli/convert_command.py
@@ -19,7 +19,7 @@
 @click.option("-o", "--out", type=click.Path(), help="Write there instead of to standard output.")
 def command(file: str, discovery: str | None, out: str | None) -> None:
     """Turn the platform's JSON into a sidecar's file, or a sidecar's file into the platform's JSON."""
-    text = reader.text_of(file)
+    text = reader.read_text(file)
     if not isinstance(text, str):
         fail(f"{file}: {text.wrong}; {text.instead}")
     result = to_toml(file, text) if text.lstrip().startswith("{") else to_json(file, discovery)
@@ -38,16 +38,18 @@
         fail(f"{file}: listen.socket: the platform has no Unix sockets; write an address")
     if loaded.file.consul:
         fail(f"{file}: consul: the platform follows its own discovery; write [servers] or [[server]]")
-    where = addresses.read(discovery or "")
+    where = addresses.parse(discovery or "")
     if where is None:
         fail("--discovery: need the address of the platform's discovery, like 10.2.0.1:8500")
-    return json.dumps(writer.to_platform(loaded.file, loaded.servers, addresses.text(where)), indent=1) + "\n"
+    return (
+        json.dumps(writer.to_platform(loaded.file, loaded.servers, addresses.to_text(where)), indent=1) + "\n"
+    )
 
 
 def to_toml(file: str, text: str) -> str:
     """Returns a sidecar's file of the platform's JSON; ends the command where there is none."""
     try:
-        return writer.text(writer.from_platform(json.loads(text)))
+        return writer.file_text(writer.from_platform(json.loads(text)))
     except (ValueError, RecursionError) as error:
         fail(f"{file}: {error}")
     except KeyError as error:
--- a/brambleplank/cli/explain_command.py
+++ b/brambleplank/cli/explain_command.py
@@ -22,7 +22,7 @@
     found = list(explain.values(loaded))
     if as_json:
         for value in found:
-            click.echo(json.dumps(value.plain()))
+            click.echo(json.dumps(value.to_dict()))
         return
     columns = ("key", "value", "origin")
     key, worth, origin = (max(len(getattr(each, name)) for each in found) for name in columns)
--- a/brambleplank/cli/new_command.py
+++ b/brambleplank/cli/new_command.py
@@ -11,9 +11,9 @@
 
 from brambleplank.discovery.file.server_file import Server, check_duplicates
 from brambleplank.sidecar import reader, writer
-from brambleplank.sidecar.rules import descriptors_for, judge, memory_for
+from brambleplank.sidecar.rules import check_file, descriptors_for, memory_for
 from brambleplank.sidecar.shapes import File
-from brambleplank.tables import DocumentReader, judged, size_text
+from brambleplank.tables import DocumentReader, apply_rules, size_text
 
 EFFECTS = ("repeatable", "referenced", "once-only")
 LISTEN = "127.0.0.1:7400"
@@ -90,14 +90,14 @@
     servers_path = path.with_name(f"{path.stem}.servers.toml")
     servers = [server(text, options.zone) for text in options.servers]
     file = without_fault(document_of(options, servers_path.name), servers)
-    texts = {path: writer.text(file)}
+    texts = {path: writer.file_text(file)}
     if file.servers:
         texts[servers_path] = writer.servers_text(servers)
     for each in texts:
         if each.exists() and not options.force:
             raise click.ClickException(f"{each}: is there; --force writes over it")
     for each, text in reversed(texts.items()):
-        writer.replace(each, text)
+        writer.replace_file(each, text)
     click.echo(f"{path}: written; servers in {servers_path}" if file.servers else f"{path}: written")
     click.echo(f"Next: brambleplank check {path}; brambleplank run {path}")
 
@@ -175,10 +175,10 @@
 
 def without_fault(document: dict[str, Any], servers: list[Server]) -> File:
     """Returns the file of the options; ends the command with every fault in it, if there is one."""
-    reading = DocumentReader.of(document)
+    reading = DocumentReader.from_tables(document)
     file = reading.decode(File, reading.tables)
-    judge(reading, file, servers, reader.machine())
-    judged([lambda: check_duplicates(reading, servers, ("server",))])
+    check_file(reading, file, servers, reader.machine())
+    apply_rules([lambda: check_duplicates(reading, servers, ("server",))])
     if reading.faults:
         for fault in sorted(set(reading.faults)):
             click.echo(f"{fault.key}: {fault.wrong}; {fault.instead}", err=True)
--- a/brambleplank/discovery/consul/answers.py
+++ b/brambleplank/discovery/consul/answers.py
@@ -117,7 +117,7 @@
     name = f"{item.node.node}/{item.service.id}"
     host = item.service.address or item.node.address
     port = item.service.port
-    address = addresses.read(f"[{host}]:{port}" if ":" in host else f"{host}:{port}")
+    address = addresses.parse(f"[{host}]:{port}" if ":" in host else f"{host}:{port}")
     if address is None or not SERVER_NAME.fullmatch(name):
         return f"{name!r:.80}: {host}:{port} is no address that can be used"
     metadata = item.service.meta or {}
--- a/brambleplank/discovery/consul/source.py
+++ b/brambleplank/discovery/consul/source.py
@@ -211,7 +211,7 @@
 
     def address(self) -> str:
         """The address of the agent that is asked."""
-        return addresses.text(self.source.settings.agents[self.agent])
+        return addresses.to_text(self.source.settings.agents[self.agent])
 
     def stop(self) -> None:
         """Cancels the query."""
--- a/brambleplank/discovery/file/server_file.py
+++ b/brambleplank/discovery/file/server_file.py
@@ -12,7 +12,7 @@
 
 from brambleplank import addresses
 from brambleplank.model import Address, Endpoint, EndpointStatus
-from brambleplank.tables import DocumentReader, KeyPath, judged
+from brambleplank.tables import DocumentReader, KeyPath, apply_rules
 
 STATES = {"ready": EndpointStatus.READY, "draining": EndpointStatus.DRAINING}
 SERVER_NAME = re.compile(r"[!-~]{1,128}")  # what log lines and datagrams can carry
@@ -93,7 +93,7 @@
         report_missing_end(document)
     else:
         check_end_is_last(document)
-    judged([lambda: check_duplicates(document, servers, ("server",))])
+    apply_rules([lambda: check_duplicates(document, servers, ("server",))])
     return document, [] if document.faults else servers
 
 
@@ -115,7 +115,7 @@
 def check_duplicates(document: DocumentReader, servers: list[Server], path: KeyPath) -> None:
     """Adds faults for names and addresses that two servers share, however written, and for unusable ones."""
     checks = DuplicateChecks(document, path)
-    judged(
+    apply_rules(
         partial(check, index, server)
         for index, server in enumerate(servers)
         for check in (checks.check_name, checks.check_address)
@@ -144,7 +144,7 @@
     def check_address(self, index: int, server: Server) -> None:
         """Adds a fault for an address that is unusable, or that an earlier server has."""
         key = (*self.path, index, "address")
-        address = addresses.read(server.address)
+        address = addresses.parse(server.address)
         if address is None:
             wrong = f'"{server.address}" is no address'
             self.document.add_fault(key, wrong, 'write one like "127.0.0.1:7501"')
@@ -164,6 +164,6 @@
         endpoints.append(
             Endpoint(server.name, server.zone, server.cell, STATES[server.state], server.size, started)
         )
-        address: Any = addresses.read(server.address)
+        address: Any = addresses.parse(server.address)
         found[server.name] = address
     return endpoints, found
--- a/brambleplank/emulator/trial.py
+++ b/brambleplank/emulator/trial.py
@@ -70,7 +70,7 @@
             servers=ServersFile("trial.servers.toml"),
         )
         path = self.folder / "trial.toml"
-        path.write_text(writer.text(file), encoding="utf-8")
+        path.write_text(writer.file_text(file), encoding="utf-8")
         with self.log.open("wb") as log:
             sidecar = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "brambleplank.cli", "run", str(path), stderr=log
@@ -99,7 +99,7 @@
 
     def write_servers(self) -> None:
         """Replaces the file of servers."""
-        writer.replace(
+        writer.replace_file(
             self.folder / "trial.servers.toml",
             writer.servers_text(
                 [
--- a/brambleplank/fleet/retirement/plan.py
+++ b/brambleplank/fleet/retirement/plan.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta
 
-from brambleplank.tables import Date, DocumentReader, KeyPath, Seconds, of, usually
+from brambleplank.tables import Date, DocumentReader, KeyPath, Seconds, default_value, key_note
 
 POSITION_BYTES = 6  # of the hash that gives a caller its position
 
@@ -42,24 +42,24 @@
 
 def dated(does: str) -> Meta:
     """Returns the description of a key that is a date."""
-    return of(does, "2027-03-01T08:00:00Z")
+    return key_note(does, "2027-03-01T08:00:00Z")
 
 
 class Pause(msgspec.Struct, forbid_unknown_fields=True):
     """A rehearsal of the end: all callers are refused for a short, announced time."""
 
     at: Annotated[Date, dated("when it begins")]
-    lasts: Annotated[Seconds, of("how long", '"60s"', "", 1, 86400)]
+    lasts: Annotated[Seconds, key_note("how long", '"60s"', "", 1, 86400)]
 
 
 class CustomerTerms(msgspec.Struct, forbid_unknown_fields=True):
     """What one customer was granted."""
 
-    customer: Annotated[str, of("the customer", '"acme"')]
+    customer: Annotated[str, key_note("the customer", '"acme"')]
     ended: Annotated[Date | None, dated("until when it is neither paused nor shed; then it ends")] = None
     floor: Annotated[
         int,
-        of(
+        key_note(
             "flows a minute of this customer that go on being served; under it shedding halts",
             "10",
             "",
@@ -72,45 +72,47 @@
 class Retirement(msgspec.Struct, forbid_unknown_fields=True):
     """One timeline."""
 
-    name: Annotated[str, of("its name in rules and in the log", '"maps v1"')]
-    service_type: Annotated[str, of("the service type that is retired, or a version of it", '"maps"')]
+    name: Annotated[str, key_note("its name in rules and in the log", '"maps v1"')]
+    service_type: Annotated[str, key_note("the service type that is retired, or a version of it", '"maps"')]
     announced: Annotated[Date, dated("from when it is said in the log")]
     warned: Annotated[Date, dated("from when callers are counted, and warned where they asked for it")]
     shed: Annotated[Date, dated("from when a share of the callers is turned away")]
     ended: Annotated[Date, dated("from when all are, but for customers with more time")]
-    version: Annotated[str, of("the version; empty: the whole service type", '"v1"')] = ""
-    successor_type: Annotated[str, of("the service type to go to; empty: the same", '"maps"')] = ""
-    successor_version: Annotated[str, of("the version to go to", '"v2"')] = ""
+    version: Annotated[str, key_note("the version; empty: the whole service type", '"v1"')] = ""
+    successor_type: Annotated[str, key_note("the service type to go to; empty: the same", '"maps"')] = ""
+    successor_version: Annotated[str, key_note("the version to go to", '"v2"')] = ""
     shares: Annotated[
         list[float],
-        of(
+        key_note(
             "shares of the callers turned away, evenly spaced from shed to ended",
             "[0.05, 0.25, 0.5]",
         ),
-    ] = usually([0.05, 0.1, 0.25, 0.5, 0.75])
+    ] = default_value([0.05, 0.1, 0.25, 0.5, 0.75])
     pause: list[Pause] = msgspec.field(default_factory=list)
     customer: list[CustomerTerms] = msgspec.field(default_factory=list)
     ceiling: Annotated[
         str,
-        of(
+        key_note(
             "a budget of turned-away flows over the fleet; beyond it they are served",
             '"away"',
         ),
     ] = ""
-    moves: Annotated[str, of("a budget of moves over the fleet, for what stands at the end", '"moves"')] = ""
+    moves: Annotated[
+        str, key_note("a budget of moves over the fleet, for what stands at the end", '"moves"')
+    ] = ""
     move_within: Annotated[
         Seconds,
-        of(
+        key_note(
             "the time over which what stands at the end is moved",
             '"300s"',
             "",
             1,
             86400,
         ),
-    ] = usually(Seconds(300))
+    ] = default_value(Seconds(300))
     come_back: Annotated[
         Seconds | None,
-        of(
+        key_note(
             "when a turned-away client should come again",
             '"2s"',
             "",
@@ -118,10 +120,12 @@
             600,
         ),
     ] = None
-    notice: Annotated[bool, of("whether clients that say notice=1 get a line after UP", "false")] = False
+    notice: Annotated[bool, key_note("whether clients that say notice=1 get a line after UP", "false")] = (
+        False
+    )
     halted: Annotated[
         bool,
-        of(
+        key_note(
             "an operator's halt: nobody is turned away, and nothing goes on",
             "false",
         ),
--- a/brambleplank/fleet/routing/route_table.py
+++ b/brambleplank/fleet/routing/route_table.py
@@ -16,7 +16,7 @@
 from brambleplank.fleet.retirement.plan import Retirement
 from brambleplank.fleet.routing.key_ranges import Claim, ClaimedRanges, KeyRange, parse_ranges
 from brambleplank.fleet.routing.rules import Routes, Rule, check_file
-from brambleplank.tables import DocumentReader, Fault, judged
+from brambleplank.tables import DocumentReader, Fault, apply_rules
 
 
 class Pattern(NamedTuple):
@@ -116,7 +116,7 @@
     if reading.is_unreadable:
         return None, reading.faults
     file = reading.decode(Routes, reading.tables)
-    judged([lambda: check_file(reading, file)])
+    apply_rules([lambda: check_file(reading, file)])
     if reading.faults:
         return None, sorted(set(reading.faults))
     table = RouteTable(routes_of(reading, file), file.versions, file.retirement)
--- a/brambleplank/fleet/routing/rules.py
+++ b/brambleplank/fleet/routing/rules.py
@@ -9,7 +9,7 @@
 from brambleplank.fleet.retirement.plan import Retirement
 from brambleplank.fleet.retirement.plan import judge as judge_timeline
 from brambleplank.fleet.routing.key_ranges import parse_ranges
-from brambleplank.tables import DocumentReader, KeyPath, Seconds, judged, of
+from brambleplank.tables import DocumentReader, KeyPath, Seconds, apply_rules, key_note
 
 MAX_RULES = 10_000
 
@@ -19,32 +19,34 @@
 
     does: Annotated[
         Literal["serve", "refuse", "retire"],
-        of(
+        key_note(
             "what becomes of a flow: served, answered at once, or as a retirement says",
             '"serve"',
         ),
     ]
-    name: Annotated[str, of("its name in the log", '"old maps"')] = ""
-    service_type: Annotated[list[str], of("service types", '["maps"]')] = msgspec.field(default_factory=list)
-    customer: Annotated[list[str], of("customers", '["acme"]')] = msgspec.field(default_factory=list)
+    name: Annotated[str, key_note("its name in the log", '"old maps"')] = ""
+    service_type: Annotated[list[str], key_note("service types", '["maps"]')] = msgspec.field(
+        default_factory=list
+    )
+    customer: Annotated[list[str], key_note("customers", '["acme"]')] = msgspec.field(default_factory=list)
     version: Annotated[
         list[str],
-        of(
+        key_note(
             "versions, as v= of OPEN; a flow that names none is of the oldest",
             '["v1"]',
         ),
     ] = msgspec.field(default_factory=list)
     keys: Annotated[
         list[str],
-        of(
+        key_note(
             "ranges of keys, hexadecimal, both ends included",
             '["00-7f"]',
         ),
     ] = msgspec.field(default_factory=list)
-    budget: Annotated[str, of("a budget of the fleet that flows are served under", '"acme flows"')] = ""
+    budget: Annotated[str, key_note("a budget of the fleet that flows are served under", '"acme flows"')] = ""
     come_back: Annotated[
         Seconds | None,
-        of(
+        key_note(
             "when a refused client should come again, where that may be told",
             '"2s"',
             "",
@@ -53,7 +55,7 @@
         ),
     ] = None
 
-    retirement: Annotated[str, of("the retirement that it goes by", '"maps v1"')] = ""
+    retirement: Annotated[str, key_note("the retirement that it goes by", '"maps v1"')] = ""
 
     def outcome(self) -> tuple[str, str]:
         """Returns what it comes to; two rules of one outcome never contradict each other."""
@@ -65,16 +67,16 @@
 
     versions: Annotated[
         list[str],
-        of(
+        key_note(
             "all versions, the oldest first: that of flows that name none",
             '["v1", "v2"]',
         ),
     ] = msgspec.field(default_factory=list)
-    rule: Annotated[list[Rule], of("one table a rule, in their order", "[[rule]]")] = msgspec.field(
+    rule: Annotated[list[Rule], key_note("one table a rule, in their order", "[[rule]]")] = msgspec.field(
         default_factory=list
     )
-    retirement: Annotated[list[Retirement], of("one table a retirement", "[[retirement]]")] = msgspec.field(
-        default_factory=list
+    retirement: Annotated[list[Retirement], key_note("one table a retirement", "[[retirement]]")] = (
+        msgspec.field(default_factory=list)
     )
 
 
@@ -87,12 +89,12 @@
             ("versions",), "a version is empty or there twice", "write each once, the oldest first"
         )
     for n, retirement in enumerate(file.retirement):
-        judged([lambda n=n, retirement=retirement: judge_timeline(reading, n, retirement)])  # type: ignore[misc]
+        apply_rules([lambda n=n, retirement=retirement: judge_timeline(reading, n, retirement)])  # type: ignore[misc]
         if any(retirement.name == other.name for other in file.retirement[:n]):
             twice = f'"{retirement.name}" stands twice'
             reading.add_fault(("retirement", n, "name"), twice, "write each name once")
     for n, rule in enumerate(file.rule):
-        judged([lambda n=n, rule=rule: check_rule(reading, n, rule)])  # type: ignore[misc]
+        apply_rules([lambda n=n, rule=rule: check_rule(reading, n, rule)])  # type: ignore[misc]
 
 
 def check_rule(reading: DocumentReader, n: int, rule: Rule) -> None:
--- a/brambleplank/fleet/shapes.py
+++ b/brambleplank/fleet/shapes.py
@@ -14,7 +14,7 @@
 
 from brambleplank import addresses
 from brambleplank.model import Address
-from brambleplank.tables import DocumentReader, KeyPath, Seconds, judged, of
+from brambleplank.tables import DocumentReader, KeyPath, Seconds, apply_rules, key_note
 
 if TYPE_CHECKING:
     from brambleplank.fleet.leases.budgets import Budget
@@ -26,19 +26,19 @@
 class BudgetTable(msgspec.Struct, forbid_unknown_fields=True):
     """What all processes together may use."""
 
-    name: Annotated[str, of("its name, in the log and in rules", '"acme flows"')]
+    name: Annotated[str, key_note("its name, in the log and in rules", '"acme flows"')]
     of: Annotated[
         Literal["flows", "further", "connections", "away", "moves"],
-        of(
+        key_note(
             "new flows, connects beyond a flow's first, flows turned away by retirements, or moves, each in "
             "a window; or connections that stand",
             '"flows"',
         ),
     ]
-    limit: Annotated[int, of("units over the whole fleet", "600", "", 1, 1_000_000_000)]
+    limit: Annotated[int, key_note("units over the whole fleet", "600", "", 1, 1_000_000_000)]
     window: Annotated[
         Seconds | None,
-        of(
+        key_note(
             "the time in which no more are used, whenever it begins; none for connections",
             '"10s"',
             "",
@@ -48,7 +48,7 @@
     ] = None
     reserve: Annotated[
         float,
-        of(
+        key_note(
             "share of the limit that processes may use by right, in the dark too, dealt evenly",
             "0.03",
             "",
@@ -56,8 +56,10 @@
             1,
         ),
     ] = 0.03
-    service_type: Annotated[str, of("only flows of this service type; empty: of all", '"warnings"')] = ""
-    customer: Annotated[str, of("only flows of this customer; empty: of all", '"acme"')] = ""
+    service_type: Annotated[str, key_note("only flows of this service type; empty: of all", '"warnings"')] = (
+        ""
+    )
+    customer: Annotated[str, key_note("only flows of this customer; empty: of all", '"acme"')] = ""
 
     def covers(self, service_type: str, customer: str) -> bool:
         """Returns whether requests of that service type and customer use this budget."""
@@ -67,24 +69,26 @@
 class Fleet(msgspec.Struct, forbid_unknown_fields=True):
     """The processes that share budgets, counts and judgements."""
 
-    listen: Annotated[str, of("address on which this process hears the others", '"127.0.0.1:7500"')] = ""
+    listen: Annotated[str, key_note("address on which this process hears the others", '"127.0.0.1:7500"')] = (
+        ""
+    )
     members: Annotated[
         list[str],
-        of(
+        key_note(
             "addresses of all, in the order of their numbers, this one among them",
             '["127.0.0.1:7500"]',
         ),
     ] = msgspec.field(default_factory=list)
     check: Annotated[
         bool,
-        of(
+        key_note(
             "whether what must always hold is checked while it serves; a fault goes to the log",
             "false",
         ),
     ] = False
     routes: Annotated[
         str,
-        of(
+        key_note(
             "a file of rules, published to all by SIGHUP; empty: none",
             '"maps.routes.toml"',
         ),
@@ -126,7 +130,7 @@
     for n, budget in enumerate(table.budget):
         where = (*at, "budget", n)
         earlier = table.budget[:n]
-        judged(
+        apply_rules(
             [
                 lambda budget=budget, where=where, earlier=earlier: check_names(  # type: ignore[misc]
                     reading, budget, earlier, service_types, customers, where
@@ -186,13 +190,13 @@
             f"{len(table.members)} members, but sidecars = {sidecars}",
             "name every sidecar, in the order of their numbers",
         )
-    found = [addresses.read(text) for text in table.members]
+    found = [addresses.parse(text) for text in table.members]
     for n, (text, address) in enumerate(zip(table.members, found, strict=True)):
         if address is None or address in found[:n]:
             reading.add_fault(
                 (*at, "members", n), f'"{text}" is no address, or there twice', "write each once"
             )
-    if addresses.read(table.listen) is None:
+    if addresses.parse(table.listen) is None:
         reading.add_fault(
             (*at, "listen"), f'"{table.listen}" is no address', 'write one like "127.0.0.1:7500"'
         )
@@ -202,6 +206,6 @@
     """Returns what a table without fault says, in a file of that folder."""
     # A Path would change how log lines show it.
     routes = os.path.join(folder, table.routes) if table.routes else ""  # noqa: PTH118
-    parsed = tuple(address for text in table.members if (address := addresses.read(text)))
-    listen = addresses.read(table.listen) if table.listen else None
+    parsed = tuple(address for text in table.members if (address := addresses.parse(text)))
+    listen = addresses.parse(table.listen) if table.listen else None
     return FleetSettings(number, members, table, parsed, listen, routes)
--- a/brambleplank/frontends/line/session_transfer.py
+++ b/brambleplank/frontends/line/session_transfer.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from brambleplank.checks import InvalidConfigurationError, need
+from brambleplank.checks import InvalidConfigurationError, check_value
 from brambleplank.frontends.line import open_line
 from brambleplank.frontends.line.client_connections import FIRST_LINE_TIMEOUT, LineClientConnection
 from brambleplank.frontends.line.upstream_connections import LineUpstreamConnection
@@ -68,9 +68,9 @@
     def decode(cls, stored: dict[str, Any]) -> EstablishedSession:
         """Raises InvalidConfigurationError, which names the key."""
         for key in ("id", "line", "server", "last"):
-            need(stored.get(key), key, str)
+            check_value(stored.get(key), key, str)
         for key in ("came", "asked"):
-            need(stored.get(key), key, float)
+            check_value(stored.get(key), key, float)
         return cls(
             id=stored["id"],
             opening_line=stored["line"].encode(TEXT),
@@ -107,7 +107,7 @@
     def decode(cls, stored: dict[str, Any]) -> TransferredConnection:
         """Raises InvalidConfigurationError, which names the key."""
         for key, kind in (("halves", list), ("unsent", list), ("since", float), ("pinged", bool)):
-            need(stored.get(key), key, kind)
+            check_value(stored.get(key), key, kind)
         sides = [
             ConnectionSide(partial_line.encode(TEXT), stored["unsent"][number].encode(TEXT))
             for number, partial_line in enumerate(stored["halves"])
@@ -181,7 +181,7 @@
 
 def decode_traffic_class(stored: Any) -> TrafficClass:
     """Returns the traffic class of a stored form. Raises InvalidConfigurationError."""
-    need(stored, "kind", dict)
+    check_value(stored, "kind", dict)
     try:
         if unknown := stored.keys() - KIND_KEYS:
             raise InvalidConfigurationError(f"kind: unknown key {min(unknown)!r:.40}")
--- a/brambleplank/platform/configuration.py
+++ b/brambleplank/platform/configuration.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from brambleplank.checks import InvalidConfigurationError, address, check_settings
+from brambleplank.checks import InvalidConfigurationError, check_settings, parse_address
 from brambleplank.discovery.platform.endpoint_list import MalformedListError, decode_list
 from brambleplank.model import Address, Settings
 from brambleplank.platform.reload import FIXED_SETTINGS, require_same_keys
@@ -81,15 +81,15 @@
     raw_settings = settings_to_apply(file, previous)
     settings = decode_checked_settings(raw_settings)
     peer_addresses = decode_peer_addresses(file)
-    listen = address(os.environ.get("ROUTER_LISTEN") or file.get("listen"), "listen")
-    discovery = address(discovery_address(file, previous), "discovery")
+    listen = parse_address(os.environ.get("ROUTER_LISTEN") or file.get("listen"), "listen")
+    discovery = parse_address(discovery_address(file, previous), "discovery")
     peers = None
     if settings.may_message_peers and file.get("peer_listen") is not None:
         # The peers are of this kind, in the order of their own numbers; the other kind may be numbered first.
         first_number = settings.proxy_number - raw_settings["slot_no"]
         peers = PeerConfiguration(
-            listen=address(file["peer_listen"], "peer_listen"),
-            broadcast=address(file.get("peers_all"), "peers_all"),
+            listen=parse_address(file["peer_listen"], "peer_listen"),
+            broadcast=parse_address(file.get("peers_all"), "peers_all"),
             numbers={peer: first_number + index for index, peer in enumerate(peer_addresses)},
         )
     operators = os.environ.get("ROUTER_MGMT") or file.get("mgmt")
@@ -100,7 +100,7 @@
         seed=seed,
         descriptors=descriptors,
         peers=peers,
-        operators=address(operators, "mgmt") if operators is not None else None,
+        operators=parse_address(operators, "mgmt") if operators is not None else None,
         known=known,
         settings=settings,
         file=file,
@@ -171,7 +171,7 @@
     peers = file.get("peers", [])
     if not isinstance(peers, list):
         raise InvalidConfigurationError(f"peers: need a list of addresses, not {peers!r:.60}")
-    return [address(peer, "peers") for peer in peers]
+    return [parse_address(peer, "peers") for peer in peers]
 
 
 def discovery_address(file: dict[str, Any], previous: PlatformConfiguration | None) -> Any:
@@ -207,7 +207,7 @@
         raise InvalidConfigurationError(
             f"fleet: needs {error.name}; install requirements-sidecar.txt"
         ) from None
-    reading = DocumentReader.of({"fleet": file["fleet"]})
+    reading = DocumentReader.from_tables({"fleet": file["fleet"]})
     table = reading.decode(shapes.Fleet, file["fleet"], ("fleet",))
     if not reading.faults:
         if table.listen or table.members:
--- a/brambleplank/platform/handoff_state.py
+++ b/brambleplank/platform/handoff_state.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from brambleplank.checks import InvalidConfigurationError, address, need
+from brambleplank.checks import InvalidConfigurationError, check_value, parse_address
 from brambleplank.decisions.history import BalancerHistory
 from brambleplank.decisions.rotation import Rotation, unknown_endpoint
 from brambleplank.discovery.platform.discovery import Discovery
@@ -56,7 +56,7 @@
         """Reads the stored form. Raises InvalidConfigurationError, which names the key."""
         if len(items(stored, key)) != 3:
             raise InvalidConfigurationError(f"{key}: need three values")
-        need(stored[1], key, str)
+        check_value(stored[1], key, str)
         return cls(whole(stored[0], key), stored[1], number(stored[2], key))
 
 
@@ -94,7 +94,7 @@
             decode_list(stored.get("list"))
         except MalformedListError as error:
             raise InvalidConfigurationError(f"estate.list: {error}") from None
-        return cls(stored["list"], address(stored.get("discovery"), "estate.discovery"))
+        return cls(stored["list"], parse_address(stored.get("discovery"), "estate.discovery"))
 
 
 @dataclass(frozen=True)
@@ -160,7 +160,7 @@
     def decode(cls, stored: dict[str, Any]) -> LifecycleState:
         """Reads the stored form. Raises InvalidConfigurationError, which names the key."""
         for key in ("draining", "serving"):
-            need(stored.get(key), f"estate.{key}", bool)
+            check_value(stored.get(key), f"estate.{key}", bool)
         return cls(
             draining=stored["draining"],
             serving=stored["serving"],
@@ -280,7 +280,7 @@
 
         Raises InvalidConfigurationError, which names the key; then nothing of it is used.
         """
-        need(stored, "estate", dict)
+        check_value(stored, "estate", dict)
         starts = each(stored.get("starts", {}), "estate.starts", two)
         servers = each(stored.get("servers"), "estate.servers", table)
         return cls(
--- a/brambleplank/platform/rotation_file.py
+++ b/brambleplank/platform/rotation_file.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from brambleplank.checks import InvalidConfigurationError, need
+from brambleplank.checks import InvalidConfigurationError, check_value
 from brambleplank.decisions.rotation import Rotation
 from brambleplank.platform import stored_values
 
@@ -28,7 +28,7 @@
         try:
             with open(self.path, encoding="utf-8") as file:
                 content = json.load(file)
-            need(content, "words", dict)
+            check_value(content, "words", dict)
             out = stored_values.each(content.get("out"), "words.out", stored_values.number)
             back = stored_values.each(content.get("back"), "words.back", stored_values.two)
         except FileNotFoundError:
--- a/brambleplank/platform/stored_values.py
+++ b/brambleplank/platform/stored_values.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from brambleplank.checks import InvalidConfigurationError, need
+from brambleplank.checks import InvalidConfigurationError, check_value
 from brambleplank.model import Address
 
 Value = TypeVar("Value")
@@ -13,32 +13,32 @@
 
 def number(value: Any, key: str, least: float = 0) -> float:
     """A number of at least so much."""
-    need(value, key, float, least)
+    check_value(value, key, float, least)
     return float(value)
 
 
 def whole(value: Any, key: str) -> int:
     """A whole number of -1 or more."""
-    need(value, key, int, -1)
+    check_value(value, key, int, -1)
     return int(value)
 
 
 def table(value: Any, key: str) -> dict[str, Any]:
     """A JSON object."""
-    need(value, key, dict)
+    check_value(value, key, dict)
     return dict(value)
 
 
 def items(value: Any, key: str) -> list[Any]:
     """A JSON array."""
-    need(value, key, list)
+    check_value(value, key, list)
     return list(value)
 
 
 def texts(value: Any, key: str) -> list[str]:
     """A JSON array of strings."""
     for text in items(value, key):
-        need(text, key, str)
+        check_value(text, key, str)
     return list(value)
 
 
@@ -55,6 +55,6 @@
 
 
 def address_text(address: Address) -> str:
-    """An address as `host:port`, which `checks.address` reads."""
+    """An address as `host:port`, which `checks.parse_address` reads."""
     host, port = address
     return f"{host}:{port}"
--- a/brambleplank/sidecar/endpoint_sources.py
+++ b/brambleplank/sidecar/endpoint_sources.py
@@ -50,7 +50,7 @@
 def consul_settings(consul: Consul) -> ConsulSettings:
     """Returns the table `consul` as the discovery takes it."""
     return ConsulSettings(
-        [address for address in map(addresses.read, consul.agents) if address],
+        [address for address in map(addresses.parse, consul.agents) if address],
         consul.services,
         consul.datacenter,
         consul.tag,
--- a/brambleplank/sidecar/explain.py
+++ b/brambleplank/sidecar/explain.py
@@ -11,7 +11,15 @@
 from brambleplank.sidecar.reader import LoadedFile
 from brambleplank.sidecar.shapes import File
 from brambleplank.sidecar.writer import toml_value
-from brambleplank.tables import KeyPath, description_of, is_shape, key_text, noted, value_text, value_type
+from brambleplank.tables import (
+    KeyPath,
+    description_of,
+    is_shape,
+    key_metadata,
+    key_text,
+    value_text,
+    value_type,
+)
 
 LONGEST_LIST = 20  # servers that are listed one by one
 
@@ -26,7 +34,7 @@
     does: str
     rule: str
 
-    def plain(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """Returns it as JSON has it."""
         return asdict(self)
 
@@ -54,7 +62,7 @@
             yield from values_of(loaded, value, path)
         elif not (value is None and is_shape(value_type(hint))):
             text = "none" if value is None else value_text(toml_value(value))
-            rule = noted(hint, "rule", "")
+            rule = key_metadata(hint, "rule", "")
             yield Value(key_text(path), text, origin(loaded, path), description_of(hint), rule)
 
 
--- a/brambleplank/sidecar/file_changes.py
+++ b/brambleplank/sidecar/file_changes.py
@@ -31,7 +31,7 @@
         when = "taken up by SIGHUP" if self.live else "waits for a restart"
         return f"{self.key}: {when}" + (f"; {self.breaks}" if self.breaks else "")
 
-    def plain(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """Returns it as JSON has it."""
         return asdict(self)
 
@@ -93,7 +93,7 @@
     """Returns how a server differs from what it was; empty if it does not."""
     if old is None:
         return "new: flows are placed there"
-    if addresses.read(old.address) != addresses.read(new.address):
+    if addresses.parse(old.address) != addresses.parse(new.address):
         return "another address: flows that stand stay at the old one until they end"
     if old != new:
         return "draining: nothing new goes there" if new.state == "draining" else "differs"
--- a/brambleplank/sidecar/reader.py
+++ b/brambleplank/sidecar/reader.py
@@ -14,9 +14,9 @@
 from brambleplank.model import Settings
 from brambleplank.settings import decode_settings
 from brambleplank.sidecar.platform_settings import EFFECT_WORDS, platform_settings
-from brambleplank.sidecar.rules import Machine, judge
+from brambleplank.sidecar.rules import Machine, check_file
 from brambleplank.sidecar.shapes import File
-from brambleplank.tables import DocumentReader, Fault, judged
+from brambleplank.tables import DocumentReader, Fault, apply_rules
 
 # Variables that give a value which the file leaves out. None may hide one that the file has.
 VARIABLES: dict[str, tuple[str, ...]] = {
@@ -58,7 +58,7 @@
     return Machine(hard if hard != resource.RLIM_INFINITY else 0, max(0, memory))
 
 
-def text_of(path: str) -> str | Fault:
+def read_text(path: str) -> str | Fault:
     """Returns a file's text, or what keeps it from being read."""
     try:
         return Path(path).read_bytes().decode()
@@ -71,16 +71,16 @@
 def read(path: str, environment: dict[str, str] | None = None, limits: Machine | None = None) -> LoadedFile:
     """Returns the file at a path; every fault is in the result, none is raised."""
     loaded = LoadedFile(path)
-    text = text_of(path)
+    text = read_text(path)
     if isinstance(text, Fault):
         loaded.faults.append(text)
         return loaded
     variables = dict(os.environ) if environment is None else environment
-    judge_text(loaded, text, variables, limits or machine())
+    check_text(loaded, text, variables, limits or machine())
     return loaded
 
 
-def judge_text(loaded: LoadedFile, text: str, environment: dict[str, str], limits: Machine) -> None:
+def check_text(loaded: LoadedFile, text: str, environment: dict[str, str], limits: Machine) -> None:
     """Adds to the file what its text says, or every fault of it."""
     reading = DocumentReader(text)
     loaded.reading = reading
@@ -88,9 +88,9 @@
         apply_environment(loaded, reading, environment)
         file = reading.decode(File, reading.tables)
         loaded.file = file
-        judged([lambda: read_servers(loaded, file, reading)])
-        judge(reading, file, loaded.servers, limits)
-        judged([lambda: check_routes(loaded, file, reading)])
+        apply_rules([lambda: read_servers(loaded, file, reading)])
+        check_file(reading, file, loaded.servers, limits)
+        apply_rules([lambda: check_routes(loaded, file, reading)])
         if not reading.faults:
             loaded.settings = decoded_settings(reading, file)
     loaded.faults = sorted(set(reading.faults))
@@ -123,7 +123,7 @@
     path = loaded.servers_path()
     if path is None:
         return
-    text = text_of(path)
+    text = read_text(path)
     if isinstance(text, Fault):
         reading.add_fault(("servers", "file"), f"{path} {text.wrong}", text.instead)
         return
@@ -144,7 +144,7 @@
     from brambleplank.fleet.routing.lint import LintContext, lint
 
     path = str(Path(loaded.path).parent / file.fleet.routes)
-    text = text_of(path)
+    text = read_text(path)
     if isinstance(text, Fault):
         reading.add_fault(("fleet", "routes"), f"{path} {text.wrong}", text.instead)
         return
--- a/brambleplank/sidecar/rules.py
+++ b/brambleplank/sidecar/rules.py
@@ -20,8 +20,8 @@
 )
 from brambleplank.fleet.shapes import judge as judge_fleet
 from brambleplank.fleet.shapes import judge_members
-from brambleplank.sidecar.shapes import ASKED_FOR, File
-from brambleplank.tables import DocumentReader, duration_text, judged, size_text
+from brambleplank.sidecar.shapes import OUTSIDE_LOOPBACK_CONSENT, File
+from brambleplank.tables import DocumentReader, apply_rules, duration_text, size_text
 
 FIRST_UNPRIVILEGED = 1024
 LONGEST_SOCKET_PATH = 107  # bytes, as Linux has it
@@ -41,9 +41,9 @@
     memory: int = 0
 
 
-def judge(reading: DocumentReader, file: File, servers: list[Server], machine: Machine) -> None:
+def check_file(reading: DocumentReader, file: File, servers: list[Server], machine: Machine) -> None:
     """Adds every fault to the reading. `servers` are those of the file itself or of the file it names."""
-    judged(
+    apply_rules(
         [
             partial(application, reading, file),
             partial(listening, reading, file),
@@ -136,7 +136,7 @@
     if not file.consul.agents:
         reading.add_fault(("consul", "agents"), "need one at least", 'write agents = ["127.0.0.1:8500"]')
     for n, text in enumerate(file.consul.agents):
-        where = addresses.read(text)
+        where = addresses.parse(text)
         if where is None:
             reading.add_fault(
                 ("consul", "agents", n), f'"{text}" is no address', 'write one like "127.0.0.1:8500"'
@@ -187,7 +187,7 @@
             )
     if listen.address is None:
         return
-    where = addresses.read(listen.address)
+    where = addresses.parse(listen.address)
     if where is None:
         reading.add_fault(
             ("listen", "address"), f'"{listen.address}" is no address', 'write one like "127.0.0.1:7400"'
@@ -198,12 +198,12 @@
         reading.add_fault(
             ("listen", "address"), f"port {where[1]} is privileged", f"write {FIRST_UNPRIVILEGED} or more"
         )
-    if not addresses.on_loopback(where[0]) and listen.outside_loopback != ASKED_FOR:
+    if not addresses.is_loopback(where[0]) and listen.outside_loopback != OUTSIDE_LOOPBACK_CONSENT:
         # Whoever reaches it opens requests in the application's name; nothing asks who it is.
         reading.add_fault(
             ("listen", "address"),
             f"{where[0]} is outside loopback",
-            f'write 127.0.0.1, or outside_loopback = "{ASKED_FOR}"',
+            f'write 127.0.0.1, or outside_loopback = "{OUTSIDE_LOOPBACK_CONSENT}"',
         )
 
 
@@ -217,11 +217,11 @@
 
 def asked_for(reading: DocumentReader, file: File) -> None:
     """Only the exact words open the listener to other machines."""
-    if file.listen.outside_loopback not in ("", ASKED_FOR):
+    if file.listen.outside_loopback not in ("", OUTSIDE_LOOPBACK_CONSENT):
         reading.add_fault(
             ("listen", "outside_loopback"),
             "other words than asked for",
-            f'write outside_loopback = "{ASKED_FOR}", or leave it out',
+            f'write outside_loopback = "{OUTSIDE_LOOPBACK_CONSENT}", or leave it out',
         )
 
 
@@ -368,9 +368,9 @@
 
 def not_itself(reading: DocumentReader, file: File, n: int, server: Server) -> None:
     """No server is the sidecar: its requests would come in again and again until descriptors run out."""
-    where = addresses.read(file.listen.address) if file.listen.address else None
-    there = addresses.read(server.address)
-    if where and there and addresses.meets(where, there):
+    where = addresses.parse(file.listen.address) if file.listen.address else None
+    there = addresses.parse(server.address)
+    if where and there and addresses.listener_accepts(where, there):
         reading.add_fault(
             ("server", n, "address") if file.server else ("servers", "file"),
             f'"{server.address}" of {server.name} is this sidecar\'s own listener',
--- a/brambleplank/sidecar/run.py
+++ b/brambleplank/sidecar/run.py
@@ -145,7 +145,7 @@
             claim = SocketPathLock(listen.socket)
             listener = create_unix_listener(claim, clients, BACKLOG, int(listen.mode, 8), reactor)
         else:
-            host, port = addresses.read(listen.address or "") or ("", 0)
+            host, port = addresses.parse(listen.address or "") or ("", 0)
             listener = ClientListener(port, clients, BACKLOG, host, reactor)
         self.proxy.admission.add_listener(listener)
         listener.startListening()
--- a/brambleplank/sidecar/writer.py
+++ b/brambleplank/sidecar/writer.py
@@ -108,7 +108,7 @@
     )
 
 
-def text(file: File, comments: bool = True, all_keys: bool = True) -> str:
+def file_text(file: File, comments: bool = True, all_keys: bool = True) -> str:
     """Returns the file as TOML, which reads back as the same."""
     document = tomlkit.document()
     if comments:
@@ -128,7 +128,7 @@
     return document.as_string() + (f"\n{server_tables(file.server)}" if file.server else "")
 
 
-def replace(path: Path, text: str) -> None:
+def replace_file(path: Path, text: str) -> None:
     """Writes a file as a whole: written in place, whoever follows it could read half of it."""
     part = path.with_name(f".{path.name}.part")
     part.write_text(text, encoding="utf-8")
@@ -172,8 +172,8 @@
 
 def normalized(address: str) -> str:
     """Returns an address as the platform writes it, or the text itself if it is none."""
-    parsed = addresses.read(address)
-    return addresses.text(parsed) if parsed else address
+    parsed = addresses.parse(address)
+    return addresses.to_text(parsed) if parsed else address
 
 
 def from_platform(config: dict[str, Any]) -> File:
@@ -277,7 +277,7 @@
 
 def decoded(document: dict[str, Any]) -> File:
     """Returns the file of a document made here. Raises ValueError for what no file could hold."""
-    reading = DocumentReader.of(document)
+    reading = DocumentReader.from_tables(document)
     file = reading.decode(File, reading.tables)
     if reading.faults:
         raise ValueError("; ".join(f"{fault.key}: {fault.wrong}" for fault in reading.faults))
--- a/brambleplank/tables/__init__.py
+++ b/brambleplank/tables/__init__.py
@@ -5,15 +5,15 @@
 ones, values of another type or out of their range.
 """
 
-from brambleplank.tables.faults import Fault, UnknownError, judged
+from brambleplank.tables.faults import Fault, UnreadableValueError, apply_rules
 from brambleplank.tables.key_lines import KeyLines, KeyPath, key_text
 from brambleplank.tables.notes import (
+    default_value,
     description_of,
     is_shape,
-    noted,
-    of,
+    key_metadata,
+    key_note,
     type_hints_of,
-    usually,
     value_type,
 )
 from brambleplank.tables.reader import DocumentReader
@@ -28,19 +28,19 @@
     "KeyPath",
     "Seconds",
     "Size",
-    "UnknownError",
+    "UnreadableValueError",
+    "apply_rules",
+    "default_value",
     "description_of",
     "duration_text",
     "is_shape",
-    "judged",
+    "key_metadata",
+    "key_note",
     "key_text",
-    "noted",
-    "of",
     "parse_seconds",
     "parse_size",
     "size_text",
     "type_hints_of",
-    "usually",
     "value_text",
     "value_type",
 ]
--- a/brambleplank/tables/notes.py
+++ b/brambleplank/tables/notes.py
@@ -10,7 +10,7 @@
 from msgspec import Meta
 
 
-def of(does: str, example: str, rule: str = "", least: float = 0.0, most: float = 0.0) -> Meta:
+def key_note(does: str, example: str, rule: str = "", least: float = 0.0, most: float = 0.0) -> Meta:
     """Returns the notes of one key; they have a range where `most` is given."""
     extra: dict[str, Any] = {"rule": rule}
     if most:
@@ -18,7 +18,7 @@
     return Meta(description=does, examples=[example], extra=extra)
 
 
-def usually(value: Any) -> Any:
+def default_value(value: Any) -> Any:
     """Returns a default of a type of our own, which the JSON schema cannot write by itself."""
     return msgspec.field(default_factory=lambda: value)
 
@@ -55,7 +55,7 @@
                 yield from notes_of(each)
 
 
-def noted(hint: Any, name: str, default: Any = None) -> Any:
+def key_metadata(hint: Any, name: str, default: Any = None) -> Any:
     """Returns what the notes of a key have under a name of our own."""
     for note in notes_of(hint):
         if name in (note.extra or {}):
@@ -65,7 +65,7 @@
 
 def is_in_range(hint: Any, value: Any) -> bool:
     """Whether a value is in its key's range; what is no number (nan) is not, what is left out is."""
-    limits = noted(hint, "range")
+    limits = key_metadata(hint, "range")
     return value is None or limits is None or bool(limits[0] <= value <= limits[1])
 
 
--- a/brambleplank/tables/reader.py
+++ b/brambleplank/tables/reader.py
@@ -10,9 +10,16 @@
 
 import msgspec
 
-from brambleplank.tables.faults import UNKNOWN, Fault
+from brambleplank.tables.faults import UNREADABLE, Fault
 from brambleplank.tables.key_lines import KeyLines, KeyPath, key_text
-from brambleplank.tables.notes import example_of, is_in_range, is_shape, noted, type_hints_of, value_type
+from brambleplank.tables.notes import (
+    example_of,
+    is_in_range,
+    is_shape,
+    key_metadata,
+    type_hints_of,
+    value_type,
+)
 from brambleplank.tables.texts import limit_text, type_text, value_text
 from brambleplank.tables.units import decode_unit
 
@@ -33,7 +40,7 @@
         self.last_table = next(reversed(self.tables), "")
 
     @classmethod
-    def of(cls, tables: dict[str, Any]) -> DocumentReader:
+    def from_tables(cls, tables: dict[str, Any]) -> DocumentReader:
         """Returns a reader of tables that were made here and have no text."""
         reader = cls("")
         reader.tables = tables
@@ -55,11 +62,11 @@
         self.faults.append(Fault(self.key_lines.line_of(path), key_text(path), wrong, instead))
 
     def decode(self, shape: type[Shape], table: Any, at: KeyPath = ()) -> Shape:
-        """Returns the table by its shape, with UNKNOWN for each value that has a fault."""
+        """Returns the table by its shape, with UNREADABLE for each value that has a fault."""
         if not isinstance(table, dict):
             wrong = f"need a table, not {value_text(table)}"
             self.add_fault(at, wrong, f"write [{key_text(at)}] on a line of its own")
-            return UNKNOWN  # type: ignore[no-any-return]
+            return UNREADABLE  # type: ignore[no-any-return]
         hints = type_hints_of(shape)
         self._check_keys(table, hints, at)
         given = {}
@@ -69,7 +76,7 @@
             if field.name in table:
                 given[field.name] = self._decode_value(hint, table[field.name], path)
             elif field.required:
-                given[field.name] = UNKNOWN
+                given[field.name] = UNREADABLE
                 self.add_fault(path, "missing", f"write {field.name} = {example_of(hint)}")
         return shape(**given)
 
@@ -82,7 +89,7 @@
                 self.add_fault((*at, key), "unknown key", instead)
 
     def _decode_value(self, hint: Any, value: Any, path: KeyPath) -> Any:
-        """Returns one key's value, or UNKNOWN."""
+        """Returns one key's value, or UNREADABLE."""
         kind = value_type(hint)
         if get_origin(kind) is list and is_shape(get_args(kind)[0]):
             return self._decode_tables(get_args(kind)[0], value, path)
@@ -93,20 +100,20 @@
         except msgspec.ValidationError:
             wrong = f"need {type_text(kind)}, not {value_text(value)}"
             self.add_fault(path, wrong, f"write {path[-1]} = {example_of(hint)}")
-            return UNKNOWN
+            return UNREADABLE
         if not is_in_range(hint, decoded):
-            least, most = noted(hint, "range")
+            least, most = key_metadata(hint, "range")
             instead = f"write {limit_text(least, kind)} to {limit_text(most, kind)}"
             self.add_fault(path, f"{value_text(value)} is out of its range", instead)
-            return UNKNOWN
+            return UNREADABLE
         return decoded
 
     def _decode_tables(self, shape: type[Shape], value: Any, path: KeyPath) -> Any:
-        """Returns the tables of a list, or UNKNOWN if it is no list."""
+        """Returns the tables of a list, or UNREADABLE if it is no list."""
         if not isinstance(value, list):
             wrong = f"need a list of tables, not {value_text(value)}"
             self.add_fault(path, wrong, f"write [[{key_text(path)}]]")
-            return UNKNOWN
+            return UNREADABLE
         decoded = decode_all(shape, value)
         if decoded is not None:
             return decoded
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -179,7 +179,7 @@
         self.config_path = folder / "maps.toml"
         self.servers_path = folder / "maps.servers.toml"
         file = writer.from_platform(self.config)
-        writer.replace(self.servers_path, writer.servers_text(file.server))
+        writer.replace_file(self.servers_path, writer.servers_text(file.server))
         file.servers = Servers(self.servers_path.name)
         file.server = []
         file.end = None
@@ -192,12 +192,12 @@
 
     def write_file(self) -> None:
         """Replaces its file as a whole."""
-        writer.replace(self.config_path, writer.text(self.file))
+        writer.replace_file(self.config_path, writer.file_text(self.file))
 
     def send_endpoints(self, **hosts: Any) -> None:
         """Replaces its file of servers."""
         file = writer.from_platform({**self.config, "known": endpoint_list(1, True, **hosts)})
-        writer.replace(self.servers_path, writer.servers_text(file.server))
+        writer.replace_file(self.servers_path, writer.servers_text(file.server))
 
     def reload(self, text: str = "", **changes: Any) -> str:  # noqa: ARG002  a sidecar's file is changed by `file`
         """Returns the log line that answers SIGHUP, with the file as it is, or with `text` in its place."""
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -394,7 +394,7 @@
 def test_no_damage_ends_in_an_exception(at: int, gone: int, put: str) -> None:
     told = reader.LoadedFile("maps.toml")
     text = GOOD[:at] + put + GOOD[at + gone :]
-    reader.judge_text(told, text, {}, HERE)
+    reader.check_text(told, text, {}, HERE)
     assert told.faults or told.settings
 
 
@@ -444,10 +444,10 @@
 @given(st.integers(0, 2**32 - 1), st.integers(1, 65535))
 def test_an_address_is_itself_however_it_is_written(number: int, port: int) -> None:
     host = ".".join(str(number >> shift & 255) for shift in (24, 16, 8, 0))
-    plain, mapped = addresses.read(f"{host}:{port}"), addresses.read(f"[::ffff:{host}]:{port}")
-    assert plain == mapped and plain and addresses.read(addresses.text(plain)) == plain
-    assert addresses.meets(plain, plain)
-    assert addresses.meets(("0.0.0.0", port), plain) == (host.startswith("127.") or number == 0)
+    plain, mapped = addresses.parse(f"{host}:{port}"), addresses.parse(f"[::ffff:{host}]:{port}")
+    assert plain == mapped and plain and addresses.parse(addresses.to_text(plain)) == plain
+    assert addresses.listener_accepts(plain, plain)
+    assert addresses.listener_accepts(("0.0.0.0", port), plain) == (host.startswith("127.") or number == 0)
 
 
 def test_seconds_are_numbers() -> None:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -273,7 +273,7 @@
         decode_fleet_settings = BudgetTable("all", "flows", LIMIT, Seconds(WINDOW), 0.2)
         file.fleet = FleetTable(listens[n], listens, True, budget=[decode_fleet_settings])
         path = tmp_path / f"sidecar{n}.toml"
-        writer.replace(path, writer.text(file))
+        writer.replace_file(path, writer.file_text(file))
         with member.log_path.open("a") as log:
             fleet.extra_processes.append(
                 start_process(None, f"import sys\n{SHORT_TIMERS}\n{SIDECAR_CODE.format(str(path), [])}", log)
@@ -518,14 +518,14 @@
     listen = ":".join(map(str, unused_udp_address()))
     file.fleet = FleetTable(listen, [listen], True, "maps.routes.toml")
     path = tmp_path / "maps.toml"
-    writer.replace(path, writer.text(file))
+    writer.replace_file(path, writer.file_text(file))
     begins = time.time() + 3
 
     def at(seconds: float) -> str:
         return datetime.fromtimestamp(begins + seconds, UTC).isoformat()
 
     rules = retirement(begins, ended=at(4), notice="true", move_within='"1s"')
-    writer.replace(tmp_path / "maps.routes.toml", rules)
+    writer.replace_file(tmp_path / "maps.routes.toml", rules)
     with member.log_path.open("a") as log:
         process = start_process(
             None, f"import sys\n{SHORT_TIMERS}\n{SIDECAR_CODE.format(str(path), [])}", log
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -16,7 +16,7 @@
 import pytest
 
 from brambleplank import records
-from brambleplank.checks import address
+from brambleplank.checks import parse_address
 from brambleplank.decisions.balancer import Balancer
 from brambleplank.decisions.rotation import Rotation
 from brambleplank.discovery.consul import answers
@@ -89,7 +89,7 @@
 
     def hear(self, datagrams: list[bytes], number: int) -> None:
         for data in datagrams:
-            self.peers.datagramReceived(data, address(PEERS[number], "peers"))
+            self.peers.datagramReceived(data, parse_address(PEERS[number], "peers"))
 
 
 def test_counts_of_all_servers_come_from_all_processes_and_go_out_as_sums_that_fit() -> None:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -441,8 +441,8 @@
     file.listen = Listen(socket=str(folder / "b.sock"))
     file.servers = Servers("maps.servers.toml")
     listed = servers or [server_file.Server(name="s0", address="127.0.0.1:9")]
-    writer.replace(folder / "maps.servers.toml", writer.servers_text(listed))
-    (folder / "maps.toml").write_text(writer.text(file))
+    writer.replace_file(folder / "maps.servers.toml", writer.servers_text(listed))
+    (folder / "maps.toml").write_text(writer.file_text(file))
     return reader.read(str(folder / "maps.toml"), {})
 
 
