--- a/brambleplank/addresses.py
+++ b/brambleplank/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as people write them, and whether two mean the same listener. Free of I/O and of look-ups."""
+"""Parses, formats and compares addresses. Free of I/O and of name look-ups."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 @lru_cache(4096)
 def parse(text: str) -> Address | None:
-    """Returns host and port of "127.0.0.1:7400", "[::1]:7400" or "localhost:7400"; None if it is no address.
+    """Parses "127.0.0.1:7400", "[::1]:7400" or "localhost:7400" into host and port; None if it is invalid.
 
-    A name other than localhost is none: a look-up can hang, or change under established sessions.
+    Names other than those of the local host are invalid: a look-up can hang, and its result can change under
+    established sessions.
     """
     host, colon, port = text.rpartition(":")
     if not colon or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
@@ -28,7 +29,10 @@
 
 
 def parse_ip(host: str) -> IPv4Address | IPv6Address | None:
-    """Returns the address that a host stands for, whichever way it is written; None if it is a name."""
+    """Returns the IP address of a host; None if the host is a name other than those of the local host.
+
+    An IPv4-mapped IPv6 address is returned as IPv4.
+    """
     try:
         found = ip_address(LOCALHOST_ADDRESSES.get(host.lower().rstrip("."), host))
     except ValueError:
@@ -38,16 +42,16 @@
 
 
 def is_loopback(host: str) -> bool:
-    """Whether a host is this machine's own loopback."""
+    """Whether a host is a loopback address."""
     found = parse_ip(host)
     return found is not None and found.is_loopback
 
 
 def listener_accepts(listener: Address, other: Address) -> bool:
-    """Whether a connection to the other address would come in at the listener.
+    """Whether the listener would accept a connection to the other address.
 
-    A listener on every address (0.0.0.0 or ::) takes in what comes to any of this machine's own; of these
-    only loopback is known without asking the machine.
+    A listener on the unspecified address (0.0.0.0 or ::) accepts connections to every address of this
+    machine; only loopback is known to be one without a system call.
     """
     if listener[1] != other[1]:
         return False
@@ -61,5 +65,5 @@
 
 
 def to_text(address: Address) -> str:
-    """Returns an address as files write it."""
+    """Formats an address as host:port, with brackets round an IPv6 host."""
     return f"[{address[0]}]:{address[1]}" if ":" in address[0] else f"{address[0]}:{address[1]}"
--- a/brambleplank/checks.py
+++ b/brambleplank/checks.py
@@ -1,4 +1,4 @@
-"""Checks that every reader of configuration shares: the settings of a site, addresses, types and ranges."""
+"""Checks shared by all readers of configuration: the settings of a site, addresses, types and ranges."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 TYPE_NAMES = {
     dict: "an object",
     list: "a list",
-    str: "a word",
+    str: "a string",
     bool: "true or false",
     int: "a whole number",
     float: "a number",
@@ -19,7 +19,7 @@
 
 
 class Key(NamedTuple):
-    """What one key of the settings needs; `least` counts for numbers."""
+    """Path and type of one key of the settings; `least` is the minimum of a number."""
 
     path: str
     kind: type
@@ -64,9 +64,9 @@
 
 
 class InvalidConfigurationError(BrambleplankError):
-    """What keeps the program from starting, in words that name the key."""
+    """An invalid configuration value; the text begins with its key and a colon."""
 
-    ADVICE = "mend that key; a start ends with 2 until then, a reload keeps what it had"
+    ADVICE = "fix that key; until then a start exits with 2 and a reload keeps the previous configuration"
 
     def __init__(self, text: str) -> None:
         where, _, wrong = text.partition(": ")
@@ -74,7 +74,7 @@
 
 
 def parse_address(text: Any, key: str) -> tuple[str, int]:
-    """Returns host and port of a text like 10.0.0.4:5000. Raises InvalidConfigurationError."""
+    """Parses an address like 10.0.0.4:5000 into host and port. Raises InvalidConfigurationError."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise InvalidConfigurationError(f"{key}: need an address like 10.0.0.4:5000, not {text!r:.60}")
@@ -82,7 +82,7 @@
 
 
 def check_settings(settings: Any) -> None:
-    """Raises InvalidConfigurationError unless each setting that is read is as it needs to be."""
+    """Raises InvalidConfigurationError for the first setting that is missing or invalid."""
     check_value(settings, "settings", dict)
     for key in REQUIRED:
         check_required(settings, key)
@@ -98,7 +98,7 @@
 
 
 def check_required(settings: dict[str, Any], key: Key) -> None:
-    """Raises InvalidConfigurationError unless the key is there and as it needs to be."""
+    """Raises InvalidConfigurationError if the key is missing or its value is invalid."""
     value: Any = settings
     at = "settings"
     for part in key.path.split("."):
@@ -111,7 +111,7 @@
 
 
 def check_mode(settings: dict[str, Any]) -> None:
-    """Raises InvalidConfigurationError for a mode that is not known."""
+    """Raises InvalidConfigurationError if the mode is unknown."""
     mode = (settings.get("specifics") or {}).get("mode", "proxy")
     if mode not in MODES:
         raise InvalidConfigurationError(
@@ -120,7 +120,7 @@
 
 
 def check_proxy_number(settings: dict[str, Any]) -> None:
-    """Raises InvalidConfigurationError for a number that none of the proxies has."""
+    """Raises InvalidConfigurationError unless the proxy's number is less than the number of proxies."""
     if settings["slot_no"] >= settings["balancers"]:
         raise InvalidConfigurationError(
             f"settings.slot_no: need a number under settings.balancers ({settings['balancers']}), "
@@ -129,7 +129,7 @@
 
 
 def check_tenants(settings: dict[str, Any]) -> None:
-    """Raises InvalidConfigurationError for a tenant without a name."""
+    """Raises InvalidConfigurationError unless each tenant is a table with a name."""
     tenants = settings.get("tenants") or []
     check_value(tenants, "settings.tenants", list)
     for number, tenant in enumerate(tenants):
@@ -138,9 +138,9 @@
 
 
 def check_traffic_classes(traffic_classes: list[Any]) -> None:
-    """Raises InvalidConfigurationError unless there is one, and each is whole and has a name of its own."""
+    """Raises InvalidConfigurationError if there is no traffic class, or one is invalid or repeats a name."""
     if not traffic_classes:
-        raise InvalidConfigurationError("settings.service_types: need one at least")
+        raise InvalidConfigurationError("settings.service_types: need at least one")
     names: list[str] = []
     for number, traffic_class in enumerate(traffic_classes):
         at = f"settings.service_types[{number}]"
@@ -155,14 +155,14 @@
             raise InvalidConfigurationError(f"{at}.effect: need one of {known}, not {effect!r:.40}")
         name = traffic_class["name"]
         if name in names:
-            raise InvalidConfigurationError(f"{at}.name: {name!r:.40} is there twice")
+            raise InvalidConfigurationError(f"{at}.name: {name!r:.40} is used twice; names must be unique")
         names.append(name)
 
 
 def check_value(value: Any, key: str, kind: type, least: float = 0) -> None:
-    """Raises InvalidConfigurationError unless the value is of the type, and a number not under `least`."""
+    """Raises InvalidConfigurationError for another type, and for a number below `least` or not finite."""
     is_of_kind = isinstance(value, (int, float) if kind is float else kind)
     if not is_of_kind or (kind is not bool and value is True):
         raise InvalidConfigurationError(f"{key}: need {TYPE_NAMES[kind]}, not {value!r:.60}")
     if kind in (int, float) and not least <= value < inf:
-        raise InvalidConfigurationError(f"{key}: need {least} at least, not {value!r:.60}")
+        raise InvalidConfigurationError(f"{key}: need at least {least}, not {value!r:.60}")
--- a/brambleplank/errors.py
+++ b/brambleplank/errors.py
@@ -1,15 +1,15 @@
-"""The base of the errors that this program raises by itself: what is wrong, where, and what to do.
+"""Base class of all errors that this program raises.
 
-Whoever catches `BrambleplankError` at the edge (a start, a reload, an operator's call) can say all three in
-one line; nothing below prints. `location` names a key, a file and line, an address or a process, in the
-file's words.
+Each error holds a problem, its location and advice. Whoever catches `BrambleplankError` at the top level (a
+start, a reload, an operator's call) reports all three in one line; code below that doesn't print. `location`
+is a key, a file and line, an address or a process, named as in the file.
 """
 
 from __future__ import annotations
 
 
 class BrambleplankError(Exception):
-    """What is wrong, where, and what an operator can do; `ADVICE` is a type's own advice."""
+    """A problem, its location and advice for the operator; `ADVICE` is the default advice of a type."""
 
     ADVICE = "report this with the log line before it"
 
@@ -23,5 +23,5 @@
         return f"{self.location}: {self.problem}" if self.location else self.problem
 
     def with_advice(self) -> str:
-        """Returns the whole error in one line."""
+        """Returns the error with its advice, in one line."""
         return f"{self}; {self.advice}"
--- a/brambleplank/tables/__init__.py
+++ b/brambleplank/tables/__init__.py
@@ -1,8 +1,8 @@
-"""TOML tables decoded by shapes, with every fault named by its key and line. Free of I/O.
+"""Decodes TOML tables into msgspec structs and reports every fault with its key and line. Free of I/O.
 
-A reader that stops at its first fault makes an operator mend a file once for each fault. So each key is
-decoded by itself (msgspec), and what is wrong is collected: unknown keys with the nearest known one, missing
-ones, values of another type or out of their range.
+Stopping at the first fault would make an operator edit and check a file once for each of them. So msgspec
+decodes each key separately and all faults are collected: unknown keys (with the closest known key), missing
+keys, and values of the wrong type or out of range.
 """
 
 from brambleplank.tables.faults import Fault, UnreadableValueError, apply_rules
--- a/brambleplank/tables/faults.py
+++ b/brambleplank/tables/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a file, and values that could not be read because of one."""
+"""Faults found in a file, and a placeholder for values that could not be decoded."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, order=True)
 class Fault:
-    """One thing that is wrong in a file: where, what, and what to write instead."""
+    """One fault in a file: its line and key, what is wrong, and what to write instead."""
 
     line: int
     key: str
@@ -23,21 +23,21 @@
         return f"line {self.line}: {self.key}: {self.wrong}; {self.instead}"
 
     def to_dict(self) -> dict[str, Any]:
-        """Returns it as JSON has it."""
+        """Returns the fault as a dictionary for JSON output."""
         return asdict(self)
 
 
 class UnreadableValueError(BrambleplankError):
-    """Something was made of a value that could not be read."""
+    """A rule used a value that could not be decoded."""
 
-    ADVICE = "mend the faults that are named; what rests on them is judged then"
+    ADVICE = "fix the reported faults; the rules that depend on these values are checked after that"
 
 
 class UnreadableValue:
-    """Stands for a value with a fault, so that the rest of its file can still be judged.
+    """Placeholder for a value that could not be decoded, so that the rest of the file can still be checked.
 
-    A default in its place would be judged as if someone had written it. Any use of it raises
-    UnreadableValueError instead, and a rule that needs it is left out.
+    A default in its place would be checked as if the file contained it. Any use of the placeholder raises
+    UnreadableValueError instead, and `apply_rules` skips the rule that used it.
     """
 
     def _raise(self, *_: object) -> Any:
@@ -52,7 +52,7 @@
 
 
 def apply_rules(rules: Iterable[Callable[[], object]]) -> None:
-    """Calls each rule; one that needs a value which could not be read is left out."""
+    """Calls each rule, and skips those that use a value which could not be decoded."""
     for rule in rules:
         with suppress(UnreadableValueError):
             rule()
--- a/brambleplank/tables/key_lines.py
+++ b/brambleplank/tables/key_lines.py
@@ -1,17 +1,17 @@
-"""Keys of a TOML text: how people write them, and on which line each is."""
+"""Finds the line of each key in a TOML text, and formats key paths for messages."""
 
 from __future__ import annotations
 
 import re
 
-KeyPath = tuple[str | int, ...]  # names of tables and keys, numbers of tables in a list from 0
+KeyPath = tuple[str | int, ...]  # names of tables and keys, and indices of tables in a list, counted from 0
 
 HEADER = re.compile(r"\s*(\[\[?)\s*(.+?)\s*\]\]?\s*(?:#.*)?$")
 KEY_PART = re.compile(r'"((?:[^"\\]|\\.)*)"|\'([^\']*)\'|([^.\s"\']+)')
 
 
 def key_text(path: KeyPath) -> str:
-    """Returns a key as people write it: service_type[2].effect, counted from 1 as in the file."""
+    """Returns a key path as text, like service_type[2].effect; indices count from 1 there."""
     text = ""
     for part in path:
         if isinstance(part, int):
@@ -22,15 +22,15 @@
 
 
 class KeyLines:
-    """The line of each key in a TOML text. The text has been parsed before, so it is well formed."""
+    """Maps each key of a TOML text to its line. The text must have been parsed before: it has to be valid."""
 
     def __init__(self, text: str) -> None:
         self.by_path: dict[KeyPath, int] = {}
-        self.counts: dict[KeyPath, int] = {}  # of tables in lists, less one
+        self.last_indices: dict[KeyPath, int] = {}  # index of the last table read of each list of tables
         self._read(text.split("\n"))
 
     def line_of(self, path: KeyPath) -> int:
-        """Returns the line of a key, or of the nearest table round it."""
+        """Returns the line of a key, or of the innermost enclosing table that has one."""
         while path and path not in self.by_path:
             path = path[:-1]
         return self.by_path.get(path, 1)
@@ -56,31 +56,31 @@
             following = line_after_value(value, lines, following)
 
     def _open_table(self, parts: KeyPath, is_in_list: bool) -> KeyPath:
-        """Returns the whole path of a table's header; tables in lists are counted."""
+        """Returns the full path of a table header, with the index of each table that is in a list."""
         path: KeyPath = ()
         for number, part in enumerate(parts):
             path += (part,)
             if is_in_list and number == len(parts) - 1:
-                self.counts[path] = self.counts.get(path, -1) + 1
-            if path in self.counts:
-                path += (self.counts[path],)
+                self.last_indices[path] = self.last_indices.get(path, -1) + 1
+            if path in self.last_indices:
+                path += (self.last_indices[path],)
         return path
 
 
 class ValueScanner:
-    """Follows a value over its lines: how many brackets are open, and whether a string is."""
+    """Scans a value that may span several lines; tracks open brackets and an open string."""
 
     def __init__(self) -> None:
         self.open_brackets = 0
-        self.quote = ""  # the quote that ends the open string
+        self.quote = ""  # delimiter that ends the open string; empty outside of strings
 
     @property
     def is_complete(self) -> bool:
-        """Whether the value ends with what was read."""
+        """Whether the value ended on the last line read."""
         return self.open_brackets <= 0 and len(self.quote) != 3
 
     def read_line(self, line: str) -> None:
-        """Reads the next line up to its end or a comment."""
+        """Scans the next line up to its end or to a comment."""
         position = 0
         while position < len(line):
             step = self._read_in_string(line, position) if self.quote else self._read(line, position)
@@ -89,7 +89,7 @@
             position += step
 
     def _read_in_string(self, line: str, position: int) -> int:
-        """Reads inside a string; returns how many characters."""
+        """Scans inside a string; returns the number of characters consumed."""
         if line[position] == "\\" and self.quote[0] == '"':
             return 2
         if line.startswith(self.quote, position):
@@ -99,7 +99,7 @@
         return 1
 
     def _read(self, line: str, position: int) -> int:
-        """Reads outside of strings; returns how many characters, 0 at a comment."""
+        """Scans outside of strings; returns the number of characters consumed, 0 at a comment."""
         three = line[position : position + 3]
         one = line[position]
         if three in ('"""', "'''"):
@@ -117,7 +117,7 @@
 
 
 def line_after_value(value: str, lines: list[str], following: int) -> int:
-    """Returns the index of the line after a value, which may go on over several."""
+    """Returns the index of the line after a value, which may span several lines."""
     scanner = ValueScanner()
     scanner.read_line(value)
     while not scanner.is_complete and following < len(lines):
@@ -127,7 +127,7 @@
 
 
 def split_at_equals(line: str) -> tuple[str, str | None]:
-    """Returns a line's key and what follows its equals sign; None for a line without a key."""
+    """Returns the key of a line and the text after its equals sign; that text is None if there is no key."""
     quote = ""
     for position, letter in enumerate(line):
         if quote:
@@ -142,5 +142,5 @@
 
 
 def key_parts(key: str) -> KeyPath:
-    """Returns the parts of a dotted key, without their quotes."""
+    """Returns the parts of a dotted key, without quotes."""
     return tuple("".join(part) for part in KEY_PART.findall(key))
--- a/brambleplank/tables/notes.py
+++ b/brambleplank/tables/notes.py
@@ -1,4 +1,4 @@
-"""What a shape notes of its keys: what each does, an example, the rule that it serves, its range."""
+"""Metadata of the keys of a file's structs: description, example, range, and the rule a key serves."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def key_note(does: str, example: str, rule: str = "", least: float = 0.0, most: float = 0.0) -> Meta:
-    """Returns the notes of one key; they have a range where `most` is given."""
+    """Returns the metadata of one key for `Annotated`; it has a range if `most` is given."""
     extra: dict[str, Any] = {"rule": rule}
     if most:
         extra["range"] = (least, most)
@@ -19,18 +19,21 @@
 
 
 def default_value(value: Any) -> Any:
-    """Returns a default of a type of our own, which the JSON schema cannot write by itself."""
+    """Returns a field with a default that msgspec can't write into a JSON schema, such as Seconds.
+
+    `sidecar/schema.py` adds the defaults of Seconds and Size there.
+    """
     return msgspec.field(default_factory=lambda: value)
 
 
 @cache
 def type_hints_of(shape: type[msgspec.Struct]) -> dict[str, Any]:
-    """Returns the keys of a shape with their types and notes."""
+    """Returns the keys of a struct with their types and metadata."""
     return get_type_hints(shape, include_extras=True)
 
 
 def value_type(hint: Any) -> Any:
-    """Returns the type of a key, without its notes and without None."""
+    """Returns the type of a key, without metadata and without None."""
     while hasattr(hint, "__metadata__"):
         hint = get_args(hint)[0]
     types = [each for each in get_args(hint) if each is not type(None)]
@@ -40,12 +43,12 @@
 
 
 def is_shape(kind: Any) -> bool:
-    """Whether a type is a shape of a table."""
+    """Whether a type is a struct that describes a table."""
     return isinstance(kind, type) and issubclass(kind, msgspec.Struct)
 
 
 def notes_of(hint: Any) -> Iterable[Meta]:
-    """Yields the notes of a key, also where it may be left out."""
+    """Yields the metadata of a key, also that inside an optional type."""
     for note in getattr(hint, "__metadata__", ()):
         if isinstance(note, Meta):
             yield note
@@ -56,7 +59,7 @@
 
 
 def key_metadata(hint: Any, name: str, default: Any = None) -> Any:
-    """Returns what the notes of a key have under a name of our own."""
+    """Returns an entry of the `extra` metadata of a key, such as "rule" or "range"."""
     for note in notes_of(hint):
         if name in (note.extra or {}):
             return (note.extra or {})[name]
@@ -64,13 +67,13 @@
 
 
 def is_in_range(hint: Any, value: Any) -> bool:
-    """Whether a value is in its key's range; what is no number (nan) is not, what is left out is."""
+    """Whether a value is in the range of its key. NaN never is; None (key left out) always is."""
     limits = key_metadata(hint, "range")
     return value is None or limits is None or bool(limits[0] <= value <= limits[1])
 
 
 def example_of(hint: Any) -> str:
-    """Returns an example of a key's value, as the file has it."""
+    """Returns an example value of a key, in TOML."""
     for note in notes_of(hint):
         if note.examples:
             return str(note.examples[0])
@@ -78,5 +81,5 @@
 
 
 def description_of(hint: Any) -> str:
-    """Returns what a key does."""
+    """Returns the description of a key, or an empty text."""
     return next((note.description for note in notes_of(hint) if note.description), "")
--- a/brambleplank/tables/reader.py
+++ b/brambleplank/tables/reader.py
@@ -1,4 +1,4 @@
-"""One TOML text being decoded by shapes."""
+"""Decodes one TOML text into structs and collects its faults."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class DocumentReader:
-    """One TOML text being decoded: its tables, the lines of its keys, and the faults found so far."""
+    """Decodes one TOML text: holds its parsed tables, the lines of its keys, and the faults found so far."""
 
     def __init__(self, text: str) -> None:
         self.text = text
@@ -41,7 +41,7 @@
 
     @classmethod
     def from_tables(cls, tables: dict[str, Any]) -> DocumentReader:
-        """Returns a reader of tables that were made here and have no text."""
+        """Returns a reader of tables built in memory, which have no text and no lines."""
         reader = cls("")
         reader.tables = tables
         reader.last_table = next(reversed(tables), "")
@@ -49,20 +49,20 @@
 
     @cached_property
     def key_lines(self) -> KeyLines:
-        """The lines of all keys, read when first asked for: a file without fault needs none."""
+        """The lines of all keys, computed on first use: a file without faults doesn't need them."""
         return KeyLines(self.text if self.tables else "")
 
     @property
     def is_unreadable(self) -> bool:
-        """Whether it could not be read at all."""
+        """Whether the text could not be parsed at all."""
         return bool(self.faults) and not self.tables
 
     def add_fault(self, path: KeyPath, wrong: str, instead: str) -> None:
-        """Adds a fault of a key: what is wrong, and what to write instead."""
+        """Records a fault of a key: what is wrong, and what to write instead."""
         self.faults.append(Fault(self.key_lines.line_of(path), key_text(path), wrong, instead))
 
     def decode(self, shape: type[Shape], table: Any, at: KeyPath = ()) -> Shape:
-        """Returns the table by its shape, with UNREADABLE for each value that has a fault."""
+        """Returns the table as a struct, with UNREADABLE for each value that has a fault."""
         if not isinstance(table, dict):
             wrong = f"need a table, not {value_text(table)}"
             self.add_fault(at, wrong, f"write [{key_text(at)}] on a line of its own")
@@ -81,15 +81,15 @@
         return shape(**given)
 
     def _check_keys(self, table: dict[str, Any], hints: dict[str, Any], at: KeyPath) -> None:
-        """Adds a fault for each key that its shape does not know."""
+        """Records a fault for each key that the struct doesn't have."""
         for key in table:
             if key not in hints:
                 near = get_close_matches(key, hints, 1)
-                instead = f"write {near[0]}" if near else f"leave it out; known here: {', '.join(hints)}"
+                instead = f"write {near[0]}" if near else f"remove it; known keys here: {', '.join(hints)}"
                 self.add_fault((*at, key), "unknown key", instead)
 
     def _decode_value(self, hint: Any, value: Any, path: KeyPath) -> Any:
-        """Returns one key's value, or UNREADABLE."""
+        """Returns the decoded value of one key, or UNREADABLE."""
         kind = value_type(hint)
         if get_origin(kind) is list and is_shape(get_args(kind)[0]):
             return self._decode_tables(get_args(kind)[0], value, path)
@@ -104,12 +104,12 @@
         if not is_in_range(hint, decoded):
             least, most = key_metadata(hint, "range")
             instead = f"write {limit_text(least, kind)} to {limit_text(most, kind)}"
-            self.add_fault(path, f"{value_text(value)} is out of its range", instead)
+            self.add_fault(path, f"{value_text(value)} is out of range", instead)
             return UNREADABLE
         return decoded
 
     def _decode_tables(self, shape: type[Shape], value: Any, path: KeyPath) -> Any:
-        """Returns the tables of a list, or UNREADABLE if it is no list."""
+        """Returns the decoded tables of a list, or UNREADABLE if the value is not a list."""
         if not isinstance(value, list):
             wrong = f"need a list of tables, not {value_text(value)}"
             self.add_fault(path, wrong, f"write [[{key_text(path)}]]")
@@ -121,15 +121,15 @@
 
 
 def syntax_fault(text: str, error: Exception) -> Fault:
-    """Returns the fault of a text that is not TOML; nested too deep, it is none either."""
+    """Returns the fault of a text that the TOML parser refused, also for nesting too deep."""
     where = re.search(r"\s*\(at line (\d+), column (\d+)\)", str(error))
     line = int(where[1]) if where else max(1, text.rstrip("\n").count("\n") + 1)
     wrong = re.sub(r"\s*\(at .*\)", "", str(error)) or type(error).__name__
-    return Fault(line, "file", f"not TOML: {wrong}", "mend this line first")
+    return Fault(line, "file", f"not TOML: {wrong}", "fix this line first")
 
 
 def decode_all(shape: type[Shape], tables: list[Any]) -> list[Shape] | None:
-    """Returns all tables of a list, decoded in one go as there may be thousands; None if any has a fault."""
+    """Decodes all tables of a list in one call, as there may be thousands; None if any has a fault."""
     try:
         decoded = msgspec.convert(tables, list[shape], dec_hook=decode_unit)  # type: ignore[valid-type]
     except msgspec.ValidationError:
--- a/brambleplank/tables/texts.py
+++ b/brambleplank/tables/texts.py
@@ -1,4 +1,4 @@
-"""Types and values as the texts of faults name them."""
+"""Formats types, values and limits for the texts of faults."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from brambleplank.tables.notes import value_type
 from brambleplank.tables.units import Seconds, Size, duration_text, size_text
 
-LONGEST_VALUE = 60  # characters of a value that are shown
+MAX_VALUE_LENGTH = 60  # characters of a value that are shown
 TYPE_NAMES = {
     "str": "a text in quotes",
     "int": "a whole number",
@@ -22,7 +22,7 @@
 
 
 def type_text(kind: Any) -> str:
-    """Returns what a key of that type needs."""
+    """Returns the description of a type, as the values that a key of it accepts."""
     words = getattr(kind, "__args__", None) if "Literal" in str(get_origin(kind)) else None
     if words:
         return "one of " + ", ".join(f'"{word}"' for word in words)
@@ -32,14 +32,14 @@
 
 
 def value_text(value: Any) -> str:
-    """Returns a value as TOML writes it, cut short if it is long."""
+    """Returns a value in TOML notation, truncated if it is long."""
     text = str(value).lower() if isinstance(value, bool) else str(value)
     text = f'"{text}"' if isinstance(value, str) else text
-    return text if len(text) <= LONGEST_VALUE else text[: LONGEST_VALUE - 3] + "…"
+    return text if len(text) <= MAX_VALUE_LENGTH else text[: MAX_VALUE_LENGTH - 3] + "…"
 
 
 def limit_text(value: Any, kind: Any) -> str:
-    """Returns the end of a range in the unit of its key."""
+    """Returns a bound of a range in the notation of its key's type."""
     if kind is Seconds:
         return f'"{duration_text(value)}"'
     return f'"{size_text(int(value))}"' if kind is Size else f"{value:g}"
--- a/brambleplank/tables/units.py
+++ b/brambleplank/tables/units.py
@@ -1,4 +1,4 @@
-"""Times, sizes and dates as files write them."""
+"""Durations, sizes and dates in the notation of configuration files."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 BYTES_IN = {"B": 1, "KiB": 1024, "MiB": 1024**2, "GiB": 1024**3}
 MICROSECONDS_IN = {"s": 1_000_000, "ms": 1000}
 
-Date = Annotated[datetime, Meta(tz=True)]  # a date and time with its zone
+Date = Annotated[datetime, Meta(tz=True)]  # a date and time with a time zone
 
 
 class Seconds(float):
-    """A time, written like "300ms" or "3s"."""
+    """A duration, written like "300ms" or "3s"."""
 
 
 class Size(int):
@@ -26,13 +26,13 @@
 
 
 def parse_seconds(text: str) -> Seconds | None:
-    """Returns the time of a text like "300ms"; None if it is no time."""
+    """Parses a duration like "300ms"; returns None if the text is not one."""
     match = DURATION.fullmatch(text)
     return Seconds(float(match[1]) * SECONDS_IN[match[2]]) if match else None
 
 
 def duration_text(value: float) -> str:
-    """Returns the shortest text of a time that reads back the same, to the microsecond."""
+    """Formats a duration in the largest of s, ms and us that keeps it exact to the microsecond."""
     microseconds = round(value * 1e6)
     for unit, factor in MICROSECONDS_IN.items():
         if microseconds % factor == 0:
@@ -41,13 +41,13 @@
 
 
 def parse_size(text: str) -> Size | None:
-    """Returns the bytes of a text like "64MiB"; None if it is no size."""
+    """Parses a size like "64MiB" into bytes; returns None if the text is not one."""
     match = SIZE.fullmatch(text)
     return Size(int(match[1]) * BYTES_IN[match[2]]) if match else None
 
 
 def size_text(value: int) -> str:
-    """Returns a number of bytes in the largest unit that divides it."""
+    """Formats a number of bytes in the largest unit that divides it."""
     for unit in ("GiB", "MiB", "KiB"):
         if value and value % BYTES_IN[unit] == 0:
             return f"{value // BYTES_IN[unit]}{unit}"
@@ -55,7 +55,7 @@
 
 
 def decode_unit(kind: type, value: Any) -> Any:
-    """Decodes a time or a size: msgspec's hook for types that it does not know. Raises ValueError."""
+    """Decodes a duration or a size; the `dec_hook` of msgspec for these types. Raises ValueError."""
     if isinstance(value, str):
         decoded: Seconds | Size | None = None
         if kind is Seconds:
@@ -64,4 +64,4 @@
             decoded = parse_size(value)
         if decoded is not None:
             return decoded
-    raise ValueError("no unit")
+    raise ValueError(f"not a {kind.__name__} with a unit")
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -292,7 +292,7 @@
     [
         ({"budget": [budget_table(10)], "listen": "127.0.0.1:1"}, "fleet.members: "),
         ({"budgets": []}, "fleet.budgets: unknown key; write budget"),
-        ({"budget": [budget_table(0, 2.0)]}, "fleet.budget[1].limit: 0 is out of its range"),
+        ({"budget": [budget_table(0, 2.0)]}, "fleet.budget[1].limit: 0 is out of range"),
         ({"budget": [budget_table(10, 2.0), budget_table(10, 2.0)]}, "fleet.budget[2].name: "),
         (
             {"budget": [{**budget_table(10), "window": "2s"}]},
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -253,9 +253,9 @@
         ({"settings": settings(wrong, feed={})}, "max_connects")
         for wrong in ("3", True, float("nan"), float("inf"), 0, -1, 2.5, None)
     ),
-    ({"settings": settings()}, "service_types: need one at least"),
+    ({"settings": settings()}, "service_types: need at least one"),
     ({"settings": settings(feed={"effect": "twice"})}, "service_types[0].effect"),
-    ({"settings": settings(feed={}, other={"name": "feed"})}, "service_types[1].name: 'feed' is there twice"),
+    ({"settings": settings(feed={}, other={"name": "feed"})}, "service_types[1].name: 'feed' is used twice"),
     (
         {"settings": {**PLATFORM_SETTINGS, "policy_limits": {"max_connects": 3}}},
         "policy_limits.may_probe: missing",
@@ -266,7 +266,7 @@
         for wrong, named in (
             ({"specifics": {"mode": "through"}}, "settings.specifics.mode: need one of proxy, pass"),
             ({"beside": 3}, "settings.beside: need an object"),
-            ({"beside": {"balancers": -1}}, "settings.beside.balancers: need 0 at least"),
+            ({"beside": {"balancers": -1}}, "settings.beside.balancers: need at least 0"),
             ({"beside": {"balancers": 2, "first": "yes"}}, "settings.beside.first: need true or false"),
             ({"policy_limits": {**PLATFORM_SETTINGS["policy_limits"], "may_probe": 1}}, "may_probe: need"),
             ({"slot_no": 1}, "settings.slot_no: need a number under settings.balancers (1)"),
