--- a/brambleplank/cli/check_command.py
+++ b/brambleplank/cli/check_command.py
@@ -23,24 +23,24 @@
 
     FILE is a sidecar's file, or a file of [[server]] tables.
     """
-    judged = judge(file)
+    checked = read_and_check(file)
     changes: list[file_changes.Change] = []
-    if old is not None and not judged.faults:
-        changes = changes_since(old, judged)
+    if old is not None and not checked.faults:
+        changes = changes_since(old, checked)
     if as_json:
-        click.echo(json.dumps(plain(file, judged, changes)))
+        click.echo(json.dumps(result_dict(file, checked, changes)))
     else:
-        show(file, judged, changes)
-        if old is not None and not judged.faults and not changes:
+        print_result(file, checked, changes)
+        if old is not None and not checked.faults and not changes:
             click.echo("nothing changes")
-        count = len(judged.faults)
-        verdict = f"{count} to mend" if count else f"good; {len(judged.servers)} servers"
+        count = len(checked.faults)
+        verdict = f"{count} to mend" if count else f"good; {len(checked.servers)} servers"
         click.echo(f"{file}: {verdict}")
-    sys.exit(2 if judged.faults else 0)
+    sys.exit(2 if checked.faults else 0)
 
 
 @dataclass(frozen=True)
-class JudgedFile:
+class CheckedFile:
     """The faults and servers of a file; `loaded` is None for a list of servers."""
 
     faults: list[Fault]
@@ -48,42 +48,42 @@
     loaded: reader.LoadedFile | None
 
 
-def judge(file: str) -> JudgedFile:
+def read_and_check(file: str) -> CheckedFile:
     """Reads a sidecar's file, or a list of servers."""
     text = reader.read_text(file)
     if isinstance(text, str) and server_file.is_server_file(text):
         reading, servers = server_file.parse(text)
-        return JudgedFile(sorted(reading.faults), servers, None)
+        return CheckedFile(sorted(reading.faults), servers, None)
     loaded = reader.read(file)
-    return JudgedFile(loaded.faults, loaded.servers, loaded)
+    return CheckedFile(loaded.faults, loaded.servers, loaded)
 
 
-def changes_since(old: str, judged: JudgedFile) -> list[file_changes.Change]:
+def changes_since(old: str, checked: CheckedFile) -> list[file_changes.Change]:
     """Returns the changes against an old file; ends the command if they cannot be told."""
-    before = judge(old)
-    if before.faults or (before.loaded is None) != (judged.loaded is None):
+    before = read_and_check(old)
+    if before.faults or (before.loaded is None) != (checked.loaded is None):
         for fault in before.faults:
             click.echo(f"{old}: {fault}", err=True)
         click.echo(f"{old}: has faults or is of another kind: nothing can be said against it", err=True)
         sys.exit(2)
-    if judged.loaded is None or before.loaded is None:
-        return file_changes.changed_servers(before.servers, judged.servers)
-    return file_changes.compare(before.loaded, judged.loaded)
+    if checked.loaded is None or before.loaded is None:
+        return file_changes.changed_servers(before.servers, checked.servers)
+    return file_changes.compare(before.loaded, checked.loaded)
 
 
-def plain(file: str, judged: JudgedFile, changes: list[file_changes.Change]) -> dict[str, Any]:
+def result_dict(file: str, checked: CheckedFile, changes: list[file_changes.Change]) -> dict[str, Any]:
     """Returns the result as JSON has it."""
     return {
         "file": file,
-        "good": not judged.faults,
-        "faults": [fault.to_dict() for fault in judged.faults],
+        "good": not checked.faults,
+        "faults": [fault.to_dict() for fault in checked.faults],
         "changes": [change.to_dict() for change in changes],
     }
 
 
-def show(file: str, judged: JudgedFile, changes: list[file_changes.Change]) -> None:
+def print_result(file: str, checked: CheckedFile, changes: list[file_changes.Change]) -> None:
     """Prints each fault and change."""
-    for fault in judged.faults:
+    for fault in checked.faults:
         click.echo(f"{file}: {fault}")
     for change in changes:
         click.echo(str(change))
--- a/brambleplank/cli/explain_command.py
+++ b/brambleplank/cli/explain_command.py
@@ -19,7 +19,7 @@
     if loaded.faults:
         click.echo("\n".join(loaded.fault_lines()), err=True)
         sys.exit(2)
-    found = list(explain.values(loaded))
+    found = list(explain.effective_values(loaded))
     if as_json:
         for value in found:
             click.echo(json.dumps(value.to_dict()))
--- a/brambleplank/cli/new_command.py
+++ b/brambleplank/cli/new_command.py
@@ -16,17 +16,17 @@
 from brambleplank.tables import DocumentReader, apply_rules, size_text
 
 EFFECTS = ("repeatable", "referenced", "once-only")
-LISTEN = "127.0.0.1:7400"
+DEFAULT_LISTEN = "127.0.0.1:7400"
 MIB = 1024**2  # bytes
-LEAST_MEMORY = 128 * MIB
+MIN_MEMORY = 128 * MIB
 MEMORY_STEP = 64 * MIB
-LEAST_DESCRIPTORS = 1024
+MIN_DESCRIPTORS = 1024
 SERVICE_HELP = "NAME:EFFECT:SETUP:TIMEOUT, and :GROUP:WINDOW for referenced; may be given again."
 
 
 @click.command("new")
 @click.option("--application", help="The application's name.")
-@click.option("--listen", help=f"Address on loopback where it connects; {LISTEN} if left out.")
+@click.option("--listen", help=f"Address on loopback where it connects; {DEFAULT_LISTEN} if left out.")
 @click.option("--socket", help="Or the path of a Unix socket.")
 @click.option("--service", "services", multiple=True, help=SERVICE_HELP)
 @click.option("--server", "servers", multiple=True, help="NAME=ADDRESS; may be given again.")
@@ -44,7 +44,7 @@
 
     Nothing is written that `check` would refuse.
     """
-    write(completed(Options(**options)))
+    write_files(complete_options(Options(**options)))
 
 
 @dataclass
@@ -67,29 +67,31 @@
     force: bool
 
 
-def completed(options: Options) -> Options:
+def complete_options(options: Options) -> Options:
     """Returns the options with answers for what was not given. Raises UsageError if nobody can be asked."""
-    asks = options.ask or sys.stdin.isatty()
-    options.application = options.application or ask_text(asks, "Application", "--application")
+    can_ask = options.ask or sys.stdin.isatty()
+    options.application = options.application or ask_text(can_ask, "Application", "--application")
     if not options.listen and not options.socket:
         question = "Address where it connects"
-        options.listen = ask_text(asks, question, "--listen", LISTEN) if asks else LISTEN
+        options.listen = (
+            ask_text(can_ask, question, "--listen", DEFAULT_LISTEN) if can_ask else DEFAULT_LISTEN
+        )
     if not options.services:
-        options.services = (ask_service(asks),)
+        options.services = (ask_service(can_ask),)
     if not options.servers and not options.agents:
-        answer = ask_text(asks, "Servers (NAME=ADDRESS, by blanks)", "--server")
+        answer = ask_text(can_ask, "Servers (NAME=ADDRESS, by blanks)", "--server")
         options.servers = tuple(answer.split())
     if options.found and not options.agents:
         raise click.UsageError("--consul-service: needs --consul with the address of an agent")
     return options
 
 
-def write(options: Options) -> None:
+def write_files(options: Options) -> None:
     """Writes the file and its file of servers; ends the command where `check` would refuse them."""
     path = Path(options.out or f"{options.application}.toml")
     servers_path = path.with_name(f"{path.stem}.servers.toml")
-    servers = [server(text, options.zone) for text in options.servers]
-    file = without_fault(document_of(options, servers_path.name), servers)
+    servers = [parse_server(text, options.zone) for text in options.servers]
+    file = checked_file(document_from(options, servers_path.name), servers)
     texts = {path: writer.file_text(file)}
     if file.servers:
         texts[servers_path] = writer.servers_text(servers)
@@ -102,13 +104,13 @@
     click.echo(f"Next: brambleplank check {path}; brambleplank run {path}")
 
 
-def document_of(options: Options, servers_file: str) -> dict[str, Any]:
+def document_from(options: Options, servers_file: str) -> dict[str, Any]:
     """Returns the tables of the file."""
     document: dict[str, Any] = {
         "application": options.application,
         "zone": options.zone,
         "listen": {"socket": options.socket} if options.socket else {"address": options.listen},
-        "service_type": [service(text) for text in options.services],
+        "service_type": [parse_service(text) for text in options.services],
     }
     if options.agents:
         document["consul"] = {"agents": list(options.agents), "services": list(options.found)}
@@ -119,22 +121,22 @@
     if options.connects is not None:
         document["connects"] = {"most": options.connects}
     if options.connections is not None:
-        room = room_for(options.connections, len(options.servers))
-        document["limits"] = {"connections": options.connections, **room}
+        limits = limits_for(options.connections, len(options.servers))
+        document["limits"] = {"connections": options.connections, **limits}
     return document
 
 
-def ask_text(asks: bool, question: str, option: str, default: str | None = None) -> str:
+def ask_text(can_ask: bool, question: str, option: str, default: str | None = None) -> str:
     """Returns the answer to a question; raises UsageError, which names the option, if nobody can be asked."""
-    if not asks:
+    if not can_ask:
         raise click.UsageError(f"{option}: missing, and there is nobody to ask")
     answer: str = click.prompt(question, default=default)
     return answer
 
 
-def ask_service(asks: bool) -> str:
+def ask_service(can_ask: bool) -> str:
     """Returns a service type from questions, in the form of its option."""
-    name = ask_text(asks, "Service type", "--service", "warnings")
+    name = ask_text(can_ask, "Service type", "--service", "warnings")
     effect = click.prompt("What if a flow runs twice?", type=click.Choice(EFFECTS), default="once-only")
     setup = click.prompt("Setup target", default="300ms")
     timeout = click.prompt("Connect timeout", default="1800ms")
@@ -146,7 +148,7 @@
     return ":".join(parts)
 
 
-def service(text: str) -> dict[str, Any]:
+def parse_service(text: str) -> dict[str, Any]:
     """Returns the table of a service type from its option."""
     parts = text.split(":")
     if len(parts) not in (4, 6):
@@ -155,7 +157,7 @@
     return dict(zip(keys, parts, strict=False))
 
 
-def server(text: str, zone: str) -> Server:
+def parse_server(text: str, zone: str) -> Server:
     """Returns a server from its option."""
     name, equals, address = text.partition("=")
     if not equals:
@@ -163,21 +165,21 @@
     return Server(name=name, address=address, zone=zone)
 
 
-def room_for(connections: int, servers: int) -> dict[str, Any]:
+def limits_for(connections: int, servers: int) -> dict[str, Any]:
     """Returns descriptors and memory for so many connections, with some to spare."""
-    needed = max(LEAST_MEMORY, memory_for(connections, servers))
+    needed = max(MIN_MEMORY, memory_for(connections, servers))
     memory = -(-needed // MEMORY_STEP) * MEMORY_STEP
     return {
-        "descriptors": max(LEAST_DESCRIPTORS, descriptors_for(connections, servers)),
+        "descriptors": max(MIN_DESCRIPTORS, descriptors_for(connections, servers)),
         "memory": size_text(memory),
     }
 
 
-def without_fault(document: dict[str, Any], servers: list[Server]) -> File:
+def checked_file(document: dict[str, Any], servers: list[Server]) -> File:
     """Returns the file of the options; ends the command with every fault in it, if there is one."""
     reading = DocumentReader.from_tables(document)
     file = reading.decode(File, reading.tables)
-    check_file(reading, file, servers, reader.machine())
+    check_file(reading, file, servers, reader.machine_limits())
     apply_rules([lambda: check_duplicates(reading, servers, ("server",))])
     if reading.faults:
         for fault in sorted(set(reading.faults)):
--- a/brambleplank/sidecar/explain.py
+++ b/brambleplank/sidecar/explain.py
@@ -21,7 +21,7 @@
     value_type,
 )
 
-LONGEST_LIST = 20  # servers that are listed one by one
+MAX_LISTED_SERVERS = 20  # servers that are listed one by one
 
 
 @dataclass(frozen=True)
@@ -39,39 +39,39 @@
         return asdict(self)
 
 
-def values(loaded: LoadedFile) -> Iterator[Value]:
+def effective_values(loaded: LoadedFile) -> Iterator[Value]:
     """Yields every value of a file, faults or not; those that could not be read are left out."""
     if loaded.file is not None and loaded.reading is not None:
-        yield from values_of(loaded, loaded.file, ())
+        yield from table_values(loaded, loaded.file, ())
 
 
-def values_of(loaded: LoadedFile, shape: Any, at: KeyPath) -> Iterator[Value]:
+def table_values(loaded: LoadedFile, shape: Any, at: KeyPath) -> Iterator[Value]:
     """Yields the values of a table and of the tables inside it."""
     hints = get_type_hints(type(shape), include_extras=True)
     for field in msgspec.structs.fields(type(shape)):
         hint = hints[field.name]
         value = getattr(shape, field.name)
         path = (*at, field.name)
-        if isinstance(value, list) and inner_shape(hint) is not None:
-            if field.name == "server" and len(value) > LONGEST_LIST:
-                yield Value("server", f"{len(value)} servers", origin(loaded, path), "", "")
+        if isinstance(value, list) and list_item_shape(hint) is not None:
+            if field.name == "server" and len(value) > MAX_LISTED_SERVERS:
+                yield Value("server", f"{len(value)} servers", value_origin(loaded, path), "", "")
                 continue
             for number, each in enumerate(value):
-                yield from values_of(loaded, each, (*path, number))
+                yield from table_values(loaded, each, (*path, number))
         elif is_shape(type(value)):
-            yield from values_of(loaded, value, path)
+            yield from table_values(loaded, value, path)
         elif not (value is None and is_shape(value_type(hint))):
             text = "none" if value is None else value_text(toml_value(value))
             rule = key_metadata(hint, "rule", "")
-            yield Value(key_text(path), text, origin(loaded, path), description_of(hint), rule)
+            yield Value(key_text(path), text, value_origin(loaded, path), description_of(hint), rule)
 
 
-def inner_shape(hint: Any) -> Any:
+def list_item_shape(hint: Any) -> Any:
     """Returns the shape of a list's tables; None if the key is no such list."""
     return next((each for each in get_args(value_type(hint)) if is_shape(each)), None)
 
 
-def origin(loaded: LoadedFile, path: KeyPath) -> str:
+def value_origin(loaded: LoadedFile, path: KeyPath) -> str:
     """Returns where a value comes from."""
     key = ".".join(str(part) for part in path)
     if key in loaded.from_environment:
@@ -80,13 +80,13 @@
     return f"line {lines[path]}" if path in lines else "default"
 
 
-def keys(shape: Any = File, at: str = "") -> Iterator[tuple[str, Any]]:
+def all_keys(shape: Any = File, at: str = "") -> Iterator[tuple[str, Any]]:
     """Yields every key that a file may have, with its hint."""
     for name, hint in get_type_hints(shape, include_extras=True).items():
         kind = value_type(hint)
         key = f"{at}.{name}" if at else name
-        inner = kind if is_shape(kind) else inner_shape(hint)
+        inner = kind if is_shape(kind) else list_item_shape(hint)
         if inner is not None:
-            yield from keys(inner, key)
+            yield from all_keys(inner, key)
         else:
             yield key, hint
--- a/brambleplank/sidecar/file_changes.py
+++ b/brambleplank/sidecar/file_changes.py
@@ -14,9 +14,9 @@
 from brambleplank.discovery.file.server_file import Server
 from brambleplank.sidecar.reader import LoadedFile
 
-LIVE_KEYS = ("limits.connections", "limits.descriptors", "limits.memory", "servers.file")  # for SIGHUP
-KEYS_WITHOUT_MEANING = ("end",)
-RESTART_MOVES_ALL = "its restart moves every standing connection once"
+RELOADABLE_KEYS = ("limits.connections", "limits.descriptors", "limits.memory", "servers.file")  # for SIGHUP
+IGNORED_KEYS = ("end",)
+RESTART_EFFECT = "its restart moves every standing connection once"
 
 
 @dataclass(frozen=True)
@@ -36,7 +36,7 @@
         return asdict(self)
 
 
-def has_other_discovery(old: LoadedFile, new: LoadedFile) -> bool:
+def has_different_discovery(old: LoadedFile, new: LoadedFile) -> bool:
     """Whether servers come from another kind of discovery: this file, a file of them, or Consul."""
 
     def kind(loaded: LoadedFile) -> tuple[bool, bool]:
@@ -47,31 +47,33 @@
 
 def compare(old: LoadedFile, new: LoadedFile) -> list[Change]:
     """Returns the keys whose effective values differ between two files without fault, in the files' order."""
-    if has_other_discovery(old, new):
-        breaks = f"they come from elsewhere, and nothing of the file is taken up before; {RESTART_MOVES_ALL}"
+    if has_different_discovery(old, new):
+        breaks = f"they come from elsewhere, and nothing of the file is taken up before; {RESTART_EFFECT}"
         return [Change("servers", False, breaks)]
-    return changed_keys(old, new) + lost_service_types(old, new) + changed_servers(old.servers, new.servers)
+    return (
+        changed_keys(old, new) + removed_service_types(old, new) + changed_servers(old.servers, new.servers)
+    )
 
 
 def changed_keys(old: LoadedFile, new: LoadedFile) -> list[Change]:
     """Returns the keys that differ, servers apart."""
-    before = flattened(old.file)
-    now = flattened(new.file)
+    before = flatten(old.file)
+    now = flatten(new.file)
     changes = []
     for key in [*now, *(key for key in before if key not in now)]:
-        if before.get(key) == now.get(key) or key in KEYS_WITHOUT_MEANING or key == "server":
+        if before.get(key) == now.get(key) or key in IGNORED_KEYS or key == "server":
             continue
-        is_live = key in LIVE_KEYS
-        changes.append(Change(key, is_live, "" if is_live else RESTART_MOVES_ALL))
+        is_live = key in RELOADABLE_KEYS
+        changes.append(Change(key, is_live, "" if is_live else RESTART_EFFECT))
     return changes
 
 
-def lost_service_types(old: LoadedFile, new: LoadedFile) -> list[Change]:
+def removed_service_types(old: LoadedFile, new: LoadedFile) -> list[Change]:
     """Returns the service types that the new file has no more."""
-    lost = {each.name for each in old.file.service_type} if old.file else set()
-    lost -= {each.name for each in new.file.service_type} if new.file else set()
+    removed = {each.name for each in old.file.service_type} if old.file else set()
+    removed -= {each.name for each in new.file.service_type} if new.file else set()
     breaks = "flows of this type are turned away as garbled after the restart"
-    return [Change(f"service_type {name}", False, breaks) for name in sorted(lost)]
+    return [Change(f"service_type {name}", False, breaks) for name in sorted(removed)]
 
 
 def changed_servers(old: list[Server], new: list[Server]) -> list[Change]:
@@ -100,11 +102,11 @@
     return ""
 
 
-def flattened(value: Any, key: str = "") -> dict[str, Any]:
+def flatten(value: Any, key: str = "") -> dict[str, Any]:
     """Returns every key of nested tables with its value; a list is one value."""
     if not isinstance(value, msgspec.Struct):
         return {key: value}
     found: dict[str, Any] = {}
     for name, inner in msgspec.structs.asdict(value).items():
-        found.update(flattened(inner, f"{key}.{name}" if key else name))
+        found.update(flatten(inner, f"{key}.{name}" if key else name))
     return found
--- a/brambleplank/sidecar/platform_settings.py
+++ b/brambleplank/sidecar/platform_settings.py
@@ -7,10 +7,12 @@
 from brambleplank.sidecar.shapes import File, ServiceType
 
 # The platform's word for each effect of a sidecar's file.
-EFFECT_WORDS = {"repeatable": "repeatable", "referenced": "by_key", "once-only": "once"}
-MICRO = 1_000_000
-TICK = 0.005  # seconds; decisions leave two of them as a margin ahead of each limit
-POLL_WITHIN = 10.0  # seconds; a list in a file on this machine seldom fails, and is soon asked for again
+PLATFORM_EFFECTS = {"repeatable": "repeatable", "referenced": "by_key", "once-only": "once"}
+MICROSECONDS_PER_SECOND = 1_000_000
+TICK_SECONDS = 0.005  # seconds; decisions leave two of them as a margin ahead of each limit
+POLL_INTERVAL_SECONDS = (
+    10.0  # seconds; a list in a file on this machine seldom fails, and is soon asked for again
+)
 
 
 def platform_settings(file: File) -> dict[str, Any]:
@@ -18,7 +20,7 @@
     return {
         "balancers": file.sidecars,
         "slot_no": file.number,
-        "tick_us": microseconds(TICK),
+        "tick_us": microseconds(TICK_SECONDS),
         "discovery": "pull",
         "az": file.zone,
         "policy_limits": {
@@ -32,7 +34,7 @@
         },
         "rules": {
             "stop_sending_within_us": microseconds(file.drain.window),
-            "ask_within_us": microseconds(POLL_WITHIN),
+            "ask_within_us": microseconds(POLL_INTERVAL_SECONDS),
             "cold_from": file.cold.able,
             "ramp_time_us": microseconds(file.cold.warm_within),
             "overload_factor": file.cold.falls_over_at,
@@ -53,7 +55,7 @@
     """Returns one traffic class as the platform writes it."""
     settings: dict[str, Any] = {
         "name": service_type.name,
-        "effect": EFFECT_WORDS[service_type.effect],
+        "effect": PLATFORM_EFFECTS[service_type.effect],
         "setup_target_us": microseconds(service_type.setup_target),
         "deadline_us": microseconds(service_type.connect_timeout),
     }
@@ -66,4 +68,4 @@
 
 def microseconds(seconds: float) -> int:
     """Returns a time in whole microseconds."""
-    return round(seconds * MICRO)
+    return round(seconds * MICROSECONDS_PER_SECOND)
--- a/brambleplank/sidecar/reader.py
+++ b/brambleplank/sidecar/reader.py
@@ -13,13 +13,13 @@
 from brambleplank.fleet.shapes import REQUEST_BUDGETS
 from brambleplank.model import Settings
 from brambleplank.settings import decode_settings
-from brambleplank.sidecar.platform_settings import EFFECT_WORDS, platform_settings
+from brambleplank.sidecar.platform_settings import PLATFORM_EFFECTS, platform_settings
 from brambleplank.sidecar.rules import Machine, check_file
 from brambleplank.sidecar.shapes import File
 from brambleplank.tables import DocumentReader, Fault, apply_rules
 
 # Variables that give a value which the file leaves out. None may hide one that the file has.
-VARIABLES: dict[str, tuple[str, ...]] = {
+ENVIRONMENT_KEYS: dict[str, tuple[str, ...]] = {
     "BRAMBLEPLANK_LISTEN": ("listen", "address"),
     "BRAMBLEPLANK_SOCKET": ("listen", "socket"),
     "BRAMBLEPLANK_SERVERS": ("servers", "file"),
@@ -51,7 +51,7 @@
         return str(Path(self.path).parent / self.file.servers.file)
 
 
-def machine() -> Machine:
+def machine_limits() -> Machine:
     """Returns what this machine allows this process."""
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
@@ -76,7 +76,7 @@
         loaded.faults.append(text)
         return loaded
     variables = dict(os.environ) if environment is None else environment
-    check_text(loaded, text, variables, limits or machine())
+    check_text(loaded, text, variables, limits or machine_limits())
     return loaded
 
 
@@ -92,7 +92,7 @@
         check_file(reading, file, loaded.servers, limits)
         apply_rules([lambda: check_routes(loaded, file, reading)])
         if not reading.faults:
-            loaded.settings = decoded_settings(reading, file)
+            loaded.settings = decode_sidecar_settings(reading, file)
     loaded.faults = sorted(set(reading.faults))
 
 
@@ -101,7 +101,7 @@
 
     Otherwise the file would say one thing and the sidecar do another.
     """
-    for variable, keys in VARIABLES.items():
+    for variable, keys in ENVIRONMENT_KEYS.items():
         if not environment.get(variable):
             continue
         table: Any = reading.tables
@@ -158,7 +158,9 @@
         [kind.name for kind in file.service_type],
         file.customers,
         [b.name for b in file.fleet.budget if b.of in REQUEST_BUDGETS],
-        idempotency_ranks={kind.name: list(EFFECT_WORDS).index(kind.effect) for kind in file.service_type},
+        idempotency_ranks={
+            kind.name: list(PLATFORM_EFFECTS).index(kind.effect) for kind in file.service_type
+        },
         budget_kinds={b.name: b.of for b in file.fleet.budget},
     )
     for found in lint(table, known):
@@ -167,12 +169,12 @@
             reading.add_fault(("fleet", "routes"), wrong, found.instead)
 
 
-def decoded_settings(reading: DocumentReader, file: File) -> Settings | None:
+def decode_sidecar_settings(reading: DocumentReader, file: File) -> Settings | None:
     """Returns the settings, by the same checks and the same decoder as for the platform's JSON."""
     settings = platform_settings(file)
     try:
         check_settings(settings)
         return decode_settings(settings, sockets=True)
-    except InvalidConfigurationError as unfit:
-        reading.add_fault((), str(unfit), "report this: the sidecar's own checks should have named it")
+    except InvalidConfigurationError as error:
+        reading.add_fault((), str(error), "report this: the sidecar's own checks should have named it")
         return None
--- a/brambleplank/sidecar/rules.py
+++ b/brambleplank/sidecar/rules.py
@@ -23,14 +23,15 @@
 from brambleplank.sidecar.shapes import OUTSIDE_LOOPBACK_CONSENT, File
 from brambleplank.tables import DocumentReader, apply_rules, duration_text, size_text
 
-FIRST_UNPRIVILEGED = 1024
-LONGEST_SOCKET_PATH = 107  # bytes, as Linux has it
-KEPT = 1 / 8  # share of descriptors and memory left to final answers and the list, as decisions have it
-BY_THE_PROGRAM = 24  # descriptors for the log, the reactor, the list, and those about to be closed
+FIRST_UNPRIVILEGED_PORT = 1024
+MAX_SOCKET_PATH_BYTES = 107  # bytes, as Linux has it
+# Share of descriptors and memory kept for final answers and the endpoint list, the same as in the decisions.
+RESERVED_SHARE = 1 / 8
+PROGRAM_DESCRIPTORS = 24  # descriptors for the log, the reactor, the list, and those about to be closed
 BASE_MEMORY = 44 * 1024**2  # bytes that it holds with nothing to do, measured; docs/sidecar.md says how
-MEMORY_EACH = 48 * 1024  # bytes a standing connection may come to hold, its unsent lines included
-MEMORY_A_SERVER = 16 * 1024
-WORD = re.compile(r"[!-+\--~]{1,128}")  # what a field of OPEN can carry
+MEMORY_PER_CONNECTION = 48 * 1024  # bytes a standing connection may come to hold, its unsent lines included
+MEMORY_PER_SERVER = 16 * 1024
+OPEN_VALUE = re.compile(r"[!-+\--~]{1,128}")  # what a field of OPEN can carry
 
 
 @dataclass(frozen=True)
@@ -45,45 +46,45 @@
     """Adds every fault to the reading. `servers` are those of the file itself or of the file it names."""
     apply_rules(
         [
-            partial(application, reading, file),
-            partial(listening, reading, file),
-            partial(mode, reading, file),
-            partial(asked_for, reading, file),
-            partial(some_type, reading, file),
-            partial(cold, reading, file),
-            partial(whence, reading, file),
-            partial(numbered, reading, file),
-            partial(agents, reading, file),
-            partial(fleet, reading, file),
-            partial(steadiness, reading, file),
-            partial(whole, reading, file),
-            partial(descriptors, reading, file, len(servers), machine),
-            partial(memory, reading, file, len(servers), machine),
-            *(partial(customer, reading, file, n) for n in counted(file, "customers")),
+            partial(check_application, reading, file),
+            partial(check_listener, reading, file),
+            partial(check_socket_mode, reading, file),
+            partial(check_outside_loopback, reading, file),
+            partial(check_has_service_type, reading, file),
+            partial(check_cold_times, reading, file),
+            partial(check_server_source, reading, file),
+            partial(check_number, reading, file),
+            partial(check_consul, reading, file),
+            partial(check_fleet, reading, file),
+            partial(check_steady_times, reading, file),
+            partial(check_end_mark, reading, file),
+            partial(check_descriptors, reading, file, len(servers), machine),
+            partial(check_memory, reading, file, len(servers), machine),
+            *(partial(check_customer, reading, file, n) for n in item_numbers(file, "customers")),
             *(
                 partial(rule, reading, file, n)
-                for n in counted(file, "service_type")
-                for rule in (fits, named, setup, group, window)
+                for n in item_numbers(file, "service_type")
+                for rule in (check_attempts_fit, check_name, check_setup_target, check_group, check_window)
             ),
-            *(partial(not_itself, reading, file, n, server) for n, server in enumerate(servers)),
+            *(partial(check_not_own_listener, reading, file, n, server) for n, server in enumerate(servers)),
             lambda: check_duplicates(reading, file.server, ("server",)),
         ]
     )
 
 
-def counted(file: File, key: str) -> range:
+def item_numbers(file: File, key: str) -> range:
     """The numbers of a list's items; none where it could not be read."""
     items = getattr(file, key)
     return range(len(items)) if isinstance(items, list) else range(0)
 
 
-def application(reading: DocumentReader, file: File) -> None:
+def check_application(reading: DocumentReader, file: File) -> None:
     """The application has a name."""
     if not file.application.strip():
         reading.add_fault(("application",), "need a word", 'write application = "maps"')
 
 
-def numbered(reading: DocumentReader, file: File) -> None:
+def check_number(reading: DocumentReader, file: File) -> None:
     """A sidecar has a number of its own; with another's, a server in slow start gets the share of several."""
     if file.number >= file.sidecars:
         reading.add_fault(
@@ -93,7 +94,7 @@
         )
 
 
-def fleet(reading: DocumentReader, file: File) -> None:
+def check_fleet(reading: DocumentReader, file: File) -> None:
     """Who shares what with whom, where anything is."""
     if file.fleet is not None:
         kinds = [kind.name for kind in file.service_type]
@@ -101,10 +102,10 @@
         judge_members(reading, file.fleet, file.sidecars, ("fleet",))
 
 
-def customer(reading: DocumentReader, file: File, n: int) -> None:
+def check_customer(reading: DocumentReader, file: File, n: int) -> None:
     """A customer's name fits into OPEN, and is there once."""
     name = file.customers[n]
-    if not WORD.fullmatch(name):
+    if not OPEN_VALUE.fullmatch(name):
         reading.add_fault(
             ("customers", n), f'"{name}" cannot stand in OPEN', "write printable letters, no space or comma"
         )
@@ -112,7 +113,7 @@
         reading.add_fault(("customers", n), f'"{name}" stands twice', "write each customer once")
 
 
-def whence(reading: DocumentReader, file: File) -> None:
+def check_server_source(reading: DocumentReader, file: File) -> None:
     """Servers stand in this file, or in one that it names."""
     if file.server and file.servers:
         reading.add_fault(
@@ -128,7 +129,7 @@
         )
 
 
-def agents(reading: DocumentReader, file: File) -> None:
+def check_consul(reading: DocumentReader, file: File) -> None:
     """Consul's agents and services, where it is the source."""
     if file.consul is None:
         return
@@ -152,7 +153,7 @@
         reading.add_fault(("consul", "services"), "one has no name", 'write services = ["feeds"]')
 
 
-def steadiness(reading: DocumentReader, file: File) -> None:
+def check_steady_times(reading: DocumentReader, file: File) -> None:
     """The shortest steady time is not over the longest."""
     if file.consul and file.consul.steady > file.consul.steadiest:
         reading.add_fault(
@@ -162,7 +163,7 @@
         )
 
 
-def whole(reading: DocumentReader, file: File) -> None:
+def check_end_mark(reading: DocumentReader, file: File) -> None:
     """A file with servers ends with its mark: half of one is often well formed, and lists fewer."""
     if file.server and file.end is None:
         report_missing_end(reading)
@@ -170,7 +171,7 @@
         check_end_is_last(reading)
 
 
-def listening(reading: DocumentReader, file: File) -> None:
+def check_listener(reading: DocumentReader, file: File) -> None:
     """Where the application connects."""
     listen = file.listen
     if (listen.address is None) == (listen.socket is None):
@@ -181,9 +182,9 @@
     if listen.socket is not None:
         if not listen.socket.startswith("/") or "\0" in listen.socket:
             reading.add_fault(("listen", "socket"), "need a whole path", 'write one like "/run/maps/b.sock"')
-        elif len(listen.socket.encode()) > LONGEST_SOCKET_PATH:
+        elif len(listen.socket.encode()) > MAX_SOCKET_PATH_BYTES:
             reading.add_fault(
-                ("listen", "socket"), f"longer than {LONGEST_SOCKET_PATH} bytes", "choose a shorter path"
+                ("listen", "socket"), f"longer than {MAX_SOCKET_PATH_BYTES} bytes", "choose a shorter path"
             )
     if listen.address is None:
         return
@@ -193,10 +194,12 @@
             ("listen", "address"), f'"{listen.address}" is no address', 'write one like "127.0.0.1:7400"'
         )
         return
-    if where[1] < FIRST_UNPRIVILEGED:
+    if where[1] < FIRST_UNPRIVILEGED_PORT:
         # It would start for root alone, and a sidecar needs no rights of its own.
         reading.add_fault(
-            ("listen", "address"), f"port {where[1]} is privileged", f"write {FIRST_UNPRIVILEGED} or more"
+            ("listen", "address"),
+            f"port {where[1]} is privileged",
+            f"write {FIRST_UNPRIVILEGED_PORT} or more",
         )
     if not addresses.is_loopback(where[0]) and listen.outside_loopback != OUTSIDE_LOOPBACK_CONSENT:
         # Whoever reaches it opens requests in the application's name; nothing asks who it is.
@@ -207,7 +210,7 @@
         )
 
 
-def mode(reading: DocumentReader, file: File) -> None:
+def check_socket_mode(reading: DocumentReader, file: File) -> None:
     """The mode of the socket is octal, and its owner may use it."""
     if not re.fullmatch(r"0?[0-7]{3}", str(file.listen.mode)):
         reading.add_fault(("listen", "mode"), f'"{file.listen.mode}" is no mode', 'write mode = "0660"')
@@ -215,7 +218,7 @@
         reading.add_fault(("listen", "mode"), "its owner may not use it", 'write mode = "0660"')
 
 
-def asked_for(reading: DocumentReader, file: File) -> None:
+def check_outside_loopback(reading: DocumentReader, file: File) -> None:
     """Only the exact words open the listener to other machines."""
     if file.listen.outside_loopback not in ("", OUTSIDE_LOOPBACK_CONSENT):
         reading.add_fault(
@@ -225,7 +228,7 @@
         )
 
 
-def fits(reading: DocumentReader, file: File, n: int) -> None:
+def check_attempts_fit(reading: DocumentReader, file: File, n: int) -> None:
     """All attempts fit into the connect timeout; the last ones would come after the final answer."""
     kind = file.service_type[n]
     total = file.connects.most * file.connects.up_within
@@ -238,16 +241,16 @@
         )
 
 
-def some_type(reading: DocumentReader, file: File) -> None:
+def check_has_service_type(reading: DocumentReader, file: File) -> None:
     """There is a service type."""
     if not file.service_type:
         reading.add_fault(("service_type",), "need one at least", "write [[service_type]] with a name")
 
 
-def named(reading: DocumentReader, file: File, n: int) -> None:
+def check_name(reading: DocumentReader, file: File, n: int) -> None:
     """A service type's name fits into OPEN, and is there once."""
     name = file.service_type[n].name
-    if not WORD.fullmatch(str(name)):  # a name that could not be read raises here
+    if not OPEN_VALUE.fullmatch(str(name)):  # a name that could not be read raises here
         reading.add_fault(
             ("service_type", n, "name"),
             f'"{name}" cannot stand in OPEN',
@@ -259,7 +262,7 @@
         )
 
 
-def setup(reading: DocumentReader, file: File, n: int) -> None:
+def check_setup_target(reading: DocumentReader, file: File, n: int) -> None:
     """The setup target is not over the connect timeout."""
     kind = file.service_type[n]
     if kind.setup_target > kind.connect_timeout:
@@ -271,17 +274,17 @@
         )
 
 
-def group(reading: DocumentReader, file: File, n: int) -> None:
+def check_group(reading: DocumentReader, file: File, n: int) -> None:
     """A group belongs to referenced flows."""
-    only_referenced(reading, file, n, "group", 'write group = "all", "zone" or "cell"')
+    check_referenced_key(reading, file, n, "group", 'write group = "all", "zone" or "cell"')
 
 
-def window(reading: DocumentReader, file: File, n: int) -> None:
+def check_window(reading: DocumentReader, file: File, n: int) -> None:
     """A window belongs to referenced flows."""
-    only_referenced(reading, file, n, "window", 'write window = "5s"')
+    check_referenced_key(reading, file, n, "window", 'write window = "5s"')
 
 
-def only_referenced(reading: DocumentReader, file: File, n: int, key: str, instead: str) -> None:
+def check_referenced_key(reading: DocumentReader, file: File, n: int, key: str, instead: str) -> None:
     """Group and window belong to referenced flows, and to no others.
 
     Without them nobody knows where, and for how long, a repeat is dropped: it would run twice.
@@ -299,16 +302,16 @@
         )
 
 
-def descriptors(reading: DocumentReader, file: File, servers: int, machine: Machine) -> None:
+def check_descriptors(reading: DocumentReader, file: File, servers: int, machine: Machine) -> None:
     """Descriptors for the connections that the file states."""
     limits = file.limits
-    need = descriptors_for(limits.connections, servers if file.probes else 0)
-    if limits.descriptors < need:
+    needed = descriptors_for(limits.connections, servers if file.probes else 0)
+    if limits.descriptors < needed:
         # Requests would be rejected for want of descriptors while the application keeps to its limit.
         reading.add_fault(
             ("limits", "descriptors"),
             f"{limits.descriptors} are too few for {limits.connections} connections and {servers} servers",
-            f"write {need} or more, or fewer connections",
+            f"write {needed} or more, or fewer connections",
         )
     if machine.descriptors and limits.descriptors > machine.descriptors:
         reading.add_fault(
@@ -318,7 +321,7 @@
         )
 
 
-def memory(reading: DocumentReader, file: File, servers: int, machine: Machine) -> None:
+def check_memory(reading: DocumentReader, file: File, servers: int, machine: Machine) -> None:
     """Memory for the connections that the file states."""
     limits = file.limits
     bytes_needed = memory_for(limits.connections, servers)
@@ -339,23 +342,25 @@
 
 def descriptors_for(connections: int, probed: int) -> int:
     """The fewest descriptors for so many standing connections, and servers that are probed."""
-    return ceil((2 * connections + probed + BY_THE_PROGRAM) / (1 - KEPT)) + 1
+    return ceil((2 * connections + probed + PROGRAM_DESCRIPTORS) / (1 - RESERVED_SHARE)) + 1
 
 
-def connections_for(descriptors: int, memory: int, servers: int) -> int:
+def max_connections(descriptors: int, memory: int, servers: int) -> int:
     """The most standing connections that these bear; 1 at least, and `check` says if that is too many."""
-    by_descriptors = (int((descriptors - 1) * (1 - KEPT)) - servers - BY_THE_PROGRAM) // 2
-    by_memory = (int(memory * (1 - KEPT)) - BASE_MEMORY - servers * MEMORY_A_SERVER) // MEMORY_EACH
+    by_descriptors = (int((descriptors - 1) * (1 - RESERVED_SHARE)) - servers - PROGRAM_DESCRIPTORS) // 2
+    by_memory = (
+        int(memory * (1 - RESERVED_SHARE)) - BASE_MEMORY - servers * MEMORY_PER_SERVER
+    ) // MEMORY_PER_CONNECTION
     return max(1, min(by_descriptors, by_memory))
 
 
 def memory_for(connections: int, servers: int) -> int:
     """The least memory for them in bytes, a whole number of MiB."""
-    held = BASE_MEMORY + connections * MEMORY_EACH + servers * MEMORY_A_SERVER
-    return ceil(held / (1 - KEPT) / 1024**2) * 1024**2
+    held = BASE_MEMORY + connections * MEMORY_PER_CONNECTION + servers * MEMORY_PER_SERVER
+    return ceil(held / (1 - RESERVED_SHARE) / 1024**2) * 1024**2
 
 
-def cold(reading: DocumentReader, file: File) -> None:
+def check_cold_times(reading: DocumentReader, file: File) -> None:
     """A server falls over within its warm-up."""
     if file.cold.falls_within > file.cold.warm_within:
         longest = duration_text(file.cold.warm_within)
@@ -366,7 +371,7 @@
         )
 
 
-def not_itself(reading: DocumentReader, file: File, n: int, server: Server) -> None:
+def check_not_own_listener(reading: DocumentReader, file: File, n: int, server: Server) -> None:
     """No server is the sidecar: its requests would come in again and again until descriptors run out."""
     where = addresses.parse(file.listen.address) if file.listen.address else None
     there = addresses.parse(server.address)
--- a/brambleplank/sidecar/run.py
+++ b/brambleplank/sidecar/run.py
@@ -88,7 +88,7 @@
         clock = Clock()
         self.proxy = Proxy(
             clock,
-            LogWriter(clock.now, as_json() if self.file.log.form == "json" else format_plain_line),
+            LogWriter(clock.now, json_line_format() if self.file.log.form == "json" else format_plain_line),
             loaded.settings,
             secrets.randbits(64),
             self.file.limits.descriptors,
@@ -101,12 +101,12 @@
         self.exit_code = 0
         self.source = endpoint_source(self.proxy, loaded)
         self.proxy.set_endpoint_source(self.source)
-        self.reader = FileReader(loaded.path, self.take_up, self.reload_failed)
+        self.reader = FileReader(loaded.path, self.apply_file, self.reload_failed)
         self.fleet_datagrams: Any = None
 
     # Start.
 
-    def share(self) -> None:
+    def join_fleet(self) -> None:
         """Takes part in the fleet, where the file has one.
 
         Raises Twisted's CannotListenError, RouteTableError, or OSError if the file of rules cannot be read.
@@ -142,8 +142,8 @@
         listen = self.file.listen
         listener: Any
         if listen.socket is not None:
-            claim = SocketPathLock(listen.socket)
-            listener = create_unix_listener(claim, clients, BACKLOG, int(listen.mode, 8), reactor)
+            path_lock = SocketPathLock(listen.socket)
+            listener = create_unix_listener(path_lock, clients, BACKLOG, int(listen.mode, 8), reactor)
         else:
             host, port = addresses.parse(listen.address or "") or ("", 0)
             listener = ClientListener(port, clients, BACKLOG, host, reactor)
@@ -244,14 +244,14 @@
         """The file could not even be judged."""
         self.proxy.log(f"reload: kept as it was: {reason}")
 
-    def take_up(self, loaded: LoadedFile) -> None:
+    def apply_file(self, loaded: LoadedFile) -> None:
         """Takes up a file that was read, unless it has a fault or needs a restart."""
         if loaded.faults or loaded.file is None:
             others = len(loaded.faults) - 1
             more = f" (and {others} more)" if others > 0 else ""
             self.proxy.log(f"reload: kept as it was: {loaded.fault_lines()[0]}{more}")
             return
-        if file_changes.has_other_discovery(self.loaded, loaded):
+        if file_changes.has_different_discovery(self.loaded, loaded):
             # A list that another source has not sent yet is empty: every server would be gone.
             self.proxy.log("reload: kept as it was: servers come from elsewhere now, which takes a restart")
             return
@@ -287,7 +287,7 @@
         self.source.ensure_watching()
 
 
-def as_json() -> Callable[[float, str, dict[str, Any]], str]:
+def json_line_format() -> Callable[[float, str, dict[str, Any]], str]:
     """Returns the form of log lines as JSON objects, one a line."""
     from structlog.processors import JSONRenderer
 
@@ -329,7 +329,7 @@
 def open_listeners(sidecar: Sidecar) -> str:
     """Takes part in the fleet and listens; returns the key and what is wrong, empty for nothing."""
     try:
-        sidecar.share()
+        sidecar.join_fleet()
         sidecar.listen()
     except SocketPathError as problem:
         return f"listen.socket: {problem}"
--- a/brambleplank/sidecar/schema.py
+++ b/brambleplank/sidecar/schema.py
@@ -32,8 +32,8 @@
         for field in msgspec.structs.fields(shape):
             default = None if field.default_factory is msgspec.NODEFAULT else field.default_factory()
             if isinstance(default, Seconds | Size):
-                properties[field.name]["default"] = plainly(default)
-    return json.dumps(plainly(found), indent=2, default=datetime.isoformat) + "\n"
+                properties[field.name]["default"] = as_file_values(default)
+    return json.dumps(as_file_values(found), indent=2, default=datetime.isoformat) + "\n"
 
 
 def inner_shapes(shape: type[msgspec.Struct]) -> set[type[msgspec.Struct]]:
@@ -46,17 +46,17 @@
     return found
 
 
-def plainly(value: Any) -> Any:
+def as_file_values(value: Any) -> Any:
     """Defaults as a file writes them, and short names."""
     if isinstance(value, dict):
         return {
             key: [tomllib.loads(f"x = {each}")["x"] for each in inner if "[[" not in each]
             if key == "examples"
-            else plainly(inner)
+            else as_file_values(inner)
             for key, inner in value.items()
         }
     if isinstance(value, list):
-        return [plainly(inner) for inner in value]
+        return [as_file_values(inner) for inner in value]
     if isinstance(value, Seconds):
         return duration_text(value)
     if isinstance(value, Size):
--- a/brambleplank/sidecar/writer.py
+++ b/brambleplank/sidecar/writer.py
@@ -12,8 +12,12 @@
 
 from brambleplank import addresses
 from brambleplank.discovery.file.server_file import STATES, Server
-from brambleplank.sidecar.platform_settings import EFFECT_WORDS, MICRO, platform_settings
-from brambleplank.sidecar.rules import connections_for
+from brambleplank.sidecar.platform_settings import (
+    MICROSECONDS_PER_SECOND,
+    PLATFORM_EFFECTS,
+    platform_settings,
+)
+from brambleplank.sidecar.rules import max_connections
 from brambleplank.sidecar.shapes import File
 from brambleplank.tables import (
     DocumentReader,
@@ -41,7 +45,7 @@
 def table_of(shape: Any, comments: bool, all_keys: bool) -> Table:
     """Returns the table of a shape, with the lists of tables inside it but no other tables."""
     table = tomlkit.table()
-    fill(table, shape, comments, all_keys)
+    add_keys(table, shape, comments, all_keys)
     for field in msgspec.structs.fields(type(shape)):
         value = getattr(shape, field.name)
         if isinstance(value, list) and value and is_shape(type(value[0])):
@@ -57,12 +61,12 @@
     return tables
 
 
-def fill(table: Any, shape: Any, comments: bool, all_keys: bool) -> None:
+def add_keys(table: Any, shape: Any, comments: bool, all_keys: bool) -> None:
     """Adds the shape's own keys to a table; without `all_keys` those that differ from their defaults."""
     hints = get_type_hints(type(shape), include_extras=True)
     for field in msgspec.structs.fields(type(shape)):
         value = getattr(shape, field.name)
-        if value is None or holds_tables(value):
+        if value is None or contains_tables(value):
             continue
         default = field.default if field.default_factory is msgspec.NODEFAULT else field.default_factory()
         if value == default and (not all_keys or value in ("", [])):
@@ -75,7 +79,7 @@
         table.add(field.name, item)
 
 
-def holds_tables(value: Any) -> bool:
+def contains_tables(value: Any) -> bool:
     """Whether a value is a table, or a list with one."""
     if isinstance(value, list):
         return any(is_shape(type(each)) for each in value)
@@ -113,7 +117,7 @@
     document = tomlkit.document()
     if comments:
         document.add(tomlkit.comment(f"The sidecar of {file.application}: brambleplank check, explain, run."))
-    fill(document, file, comments, all_keys)
+    add_keys(document, file, comments, all_keys)
     for name in get_type_hints(File, include_extras=True):
         value = getattr(file, name)
         if name in ("server", "end") or value is None:
@@ -137,7 +141,7 @@
 
 # From and to the platform's JSON.
 
-EFFECTS_OF_WORDS = {word: effect for effect, word in EFFECT_WORDS.items()}
+EFFECTS_BY_PLATFORM_NAME = {word: effect for effect, word in PLATFORM_EFFECTS.items()}
 DEFAULT_DESCRIPTORS = 1024
 DEFAULT_MEMORY = 128  # MiB
 
@@ -201,7 +205,7 @@
         "server": [server_table(host) for host in hosts],
         "end": {},
     }
-    return decoded(document)
+    return decode_document(document)
 
 
 def limits_table(limits: dict[str, Any], servers: int) -> dict[str, Any]:
@@ -209,7 +213,7 @@
     descriptors = limits.get("sockets", DEFAULT_DESCRIPTORS)
     memory = limits.get("memory_mb", DEFAULT_MEMORY) * MIB
     return {
-        "connections": connections_for(descriptors, memory, servers),
+        "connections": max_connections(descriptors, memory, servers),
         "descriptors": descriptors,
         "memory": size_text(memory),
     }
@@ -245,7 +249,7 @@
     for number, item in enumerate(items):
         table = {
             "name": item["name"],
-            "effect": EFFECTS_OF_WORDS[item["effect"]],
+            "effect": EFFECTS_BY_PLATFORM_NAME[item["effect"]],
             "setup_target": time_text(item["setup_target_us"]),
             "connect_timeout": time_text(item.get("deadline_us", item["setup_target_us"])),
         }
@@ -272,10 +276,10 @@
 
 def time_text(microseconds: float) -> str:
     """Returns a time as files write it."""
-    return duration_text(microseconds / MICRO)
+    return duration_text(microseconds / MICROSECONDS_PER_SECOND)
 
 
-def decoded(document: dict[str, Any]) -> File:
+def decode_document(document: dict[str, Any]) -> File:
     """Returns the file of a document made here. Raises ValueError for what no file could hold."""
     reading = DocumentReader.from_tables(document)
     file = reading.decode(File, reading.tables)
--- a/brambleplank/tables/units.py
+++ b/brambleplank/tables/units.py
@@ -64,4 +64,4 @@
             decoded = parse_size(value)
         if decoded is not None:
             return decoded
-    raise ValueError(f"not a {kind.__name__} with a unit")
+    raise ValueError("not a duration or size with a unit")
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -16,7 +16,7 @@
 from brambleplank.cli import main
 from brambleplank.discovery.file import server_file
 from brambleplank.sidecar import reader, writer
-from brambleplank.sidecar.explain import keys
+from brambleplank.sidecar.explain import all_keys
 from brambleplank.sidecar.rules import Machine
 from brambleplank.sidecar.schema import schema
 from brambleplank.tables import (
@@ -216,7 +216,7 @@
 def test_a_broken_file_is_refused_by_key_and_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, good: str, bad: str, key: str, on_line: str
 ) -> None:
-    monkeypatch.setattr(reader, "machine", lambda: HERE)
+    monkeypatch.setattr(reader, "machine_limits", lambda: HERE)
     assert good in GOOD
     text = GOOD.replace(good, bad, 1)
     faults = faults_of(text, tmp_path)
@@ -355,7 +355,7 @@
     docs = Path(__file__).parents[1] / "docs"
     assert (docs / "sidecar.schema.json").read_text() == schema()
     page = (docs / "sidecar.md").read_text()
-    for key, hint in keys():
+    for key, hint in all_keys():
         assert f"| `{key}` |" in page and description_of(hint) in page, key
 
 
