--- a/brambleplank/fleet/routing/rules.py
+++ b/brambleplank/fleet/routing/rules.py
@@ -1,4 +1,4 @@
-"""The shape of a file of rules, and what is checked of each of its tables."""
+"""The schema of a file of rules, and the checks of its tables."""
 
 from __future__ import annotations
 
@@ -6,8 +6,7 @@
 
 import msgspec
 
-from brambleplank.fleet.retirement.plan import Retirement
-from brambleplank.fleet.retirement.plan import judge as judge_timeline
+from brambleplank.fleet.retirement.plan import Retirement, check_retirement
 from brambleplank.fleet.routing.key_ranges import parse_ranges
 from brambleplank.tables import DocumentReader, KeyPath, Seconds, apply_rules, key_note
 
@@ -58,7 +57,7 @@
     retirement: Annotated[str, key_note("the retirement that it goes by", '"maps v1"')] = ""
 
     def outcome(self) -> tuple[str, str]:
-        """Returns what it comes to; two rules of one outcome never contradict each other."""
+        """Returns the outcome for a request; rules with the same outcome do not contradict each other."""
         return self.does, self.budget or self.retirement
 
 
@@ -81,7 +80,7 @@
 
 
 def check_file(reading: DocumentReader, file: Routes) -> None:
-    """Adds every fault of a file, by line and key."""
+    """Adds all faults of a file, by line and key."""
     if len(file.rule) > MAX_RULES:
         reading.add_fault(("rule",), f"{len(file.rule)} rules", f"keep {MAX_RULES} at most")
     if len(set(file.versions)) < len(file.versions) or "" in file.versions:
@@ -89,26 +88,28 @@
             ("versions",), "a version is empty or there twice", "write each once, the oldest first"
         )
     for n, retirement in enumerate(file.retirement):
-        apply_rules([lambda n=n, retirement=retirement: judge_timeline(reading, n, retirement)])  # type: ignore[misc]
+        apply_rules([lambda n=n, retirement=retirement: check_retirement(reading, n, retirement)])  # type: ignore[misc]
         if any(retirement.name == other.name for other in file.retirement[:n]):
-            twice = f'"{retirement.name}" stands twice'
+            twice = f'"{retirement.name}" is there twice'
             reading.add_fault(("retirement", n, "name"), twice, "write each name once")
     for n, rule in enumerate(file.rule):
         apply_rules([lambda n=n, rule=rule: check_rule(reading, n, rule)])  # type: ignore[misc]
 
 
 def check_rule(reading: DocumentReader, n: int, rule: Rule) -> None:
-    """Adds every fault of one rule."""
+    """Adds all faults of one rule."""
     at: KeyPath = ("rule", n)
     if parse_ranges(rule.keys) is None:
-        reading.add_fault((*at, "keys"), f"no ranges of keys: {rule.keys}", 'write some like "00-7f"')
+        reading.add_fault((*at, "keys"), f"no ranges of keys: {rule.keys}", 'write ranges like "00-7f"')
     if rule.does == "refuse" and rule.budget:
-        reading.add_fault((*at, "budget"), "what is refused uses no budget", "leave it out")
+        reading.add_fault((*at, "budget"), "a refused flow uses no budget", "leave it out")
     if rule.does != "refuse" and rule.come_back is not None:
-        reading.add_fault((*at, "come_back"), "who is served need not come again", "leave it out")
+        reading.add_fault((*at, "come_back"), "only for rules that refuse flows", "leave it out")
     if (rule.does == "retire") != bool(rule.retirement):
-        reading.add_fault((*at, "retirement"), 'it goes with does = "retire"', "write both, or leave it out")
+        reading.add_fault(
+            (*at, "retirement"), 'needed with does = "retire", and only then', "write both, or neither"
+        )
     for key in ("service_type", "customer", "version"):
         values = getattr(rule, key)
         if len(set(values)) < len(values):
-            reading.add_fault((*at, key), "a value stands twice", "write each once")
+            reading.add_fault((*at, key), "a value is there twice", "write each once")
--- a/brambleplank/net/peer_link.py
+++ b/brambleplank/net/peer_link.py
@@ -1,4 +1,4 @@
-"""Datagrams between proxies; the text form of the oldest releases, a message time, is still read."""
+"""Datagrams between proxies; the text format of the oldest releases, a message time, is still accepted."""
 
 from __future__ import annotations
 
@@ -12,82 +12,85 @@
 from brambleplank.records import Server
 from brambleplank.server_tags import ServerTags
 
-MAX_DATAGRAM_SIZE = 256  # bytes of a datagram
-MAX_MESSAGE_TIME = 3600.0  # seconds; more is no message time
+MAX_DATAGRAM_SIZE = 256  # bytes
+MAX_MESSAGE_TIME = 3600.0  # seconds; larger values are invalid
 
 
 class PeerLink(PeerMessenger, DatagramProtocol):
-    """Sends and receives; other proxies are known by their numbers, and believed by their addresses."""
+    """Sends and receives datagrams; peers have numbers and are identified by their source addresses."""
 
     noisy = False
     transport: Any
 
     def __init__(
         self,
-        soon: Callable[[Callable[[], None]], object],
+        defer: Callable[[Callable[[], None]], object],
         tags: Callable[[], ServerTags],
         message_time_received: Callable[[Server, float, float], None],
         load_report_received: Callable[[int, dict[Server, int], bool, bool], None],
         group_server_received: Callable[[int, Server], None],
         permit_message_received: Callable[[int, Server, int], None],
         broadcast_address: Address,
-        numbers: dict[Address, int],
+        peer_numbers: dict[Address, int],
         send_failed: Callable[[int | None], None] | None = None,
     ) -> None:
-        """`send_failed` gets the errno of a datagram that this machine could not send."""
+        """`send_failed` gets the errno of each failed send."""
         self._send_failed = send_failed
         super().__init__(
             self.write,
             MAX_DATAGRAM_SIZE,
-            soon,
+            defer,
             tags,
             message_time_received,
             load_report_received,
             group_server_received,
             permit_message_received,
         )
-        self._readers: dict[int, Callable[[bytes, int], None]] = {}  # of further forms, by first byte
-        self.set_peers(broadcast_address, numbers)
+        self._handlers: dict[int, Callable[[bytes, int], None]] = {}  # of other formats, by first byte
+        self.set_peers(broadcast_address, peer_numbers)
 
-    def set_peers(self, broadcast_address: Address, numbers: dict[Address, int]) -> None:
-        """Sets where datagrams to all go, and the proxies' numbers by address; without any, none is sent."""
+    def set_peers(self, broadcast_address: Address, peer_numbers: dict[Address, int]) -> None:
+        """Sets the broadcast address and the peers' numbers by address; without peers, nothing is sent."""
         self.broadcast_address = broadcast_address
-        self.numbers = numbers
-        self.known = {number: address for address, number in numbers.items()}
+        self.peer_numbers = peer_numbers
+        self.peer_addresses = {number: address for address, number in peer_numbers.items()}
 
-    def add_datagram_handler(self, first_byte: int, read: Callable[[bytes, int], None]) -> None:
-        """Registers who reads the datagrams of a further form, each with the number of its sender."""
-        self._readers[first_byte] = read
+    def add_datagram_handler(self, first_byte: int, handler: Callable[[bytes, int], None]) -> None:
+        """Registers the handler of datagrams of another format; it gets the data and the sender's number."""
+        self._handlers[first_byte] = handler
 
-    def write(self, message: bytes, to: int | None) -> None:
-        """Sends a datagram to the proxy of that number, or to all of them (None)."""
-        if self.known and (to is None or to in self.known):
+    def write(self, message: bytes, recipient: int | None) -> None:
+        """Sends a datagram to one peer, given by number, or to all peers (None)."""
+        if self.peer_addresses and (recipient is None or recipient in self.peer_addresses):
             try:
-                self.transport.write(message, self.broadcast_address if to is None else self.known[to])
-            except OSError as failed:
-                # As if lost on its way, which every reader has to bear; the other messages still go out.
+                self.transport.write(
+                    message, self.broadcast_address if recipient is None else self.peer_addresses[recipient]
+                )
+            except OSError as error:
+                # Treated like a datagram lost on the network, which peers tolerate; later ones are still
+                # sent.
                 if self._send_failed is not None:
-                    self._send_failed(failed.errno)
+                    self._send_failed(error.errno)
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802
-        """Reads what known proxies sent: anything else could report every server as overloaded."""
-        if addr not in self.numbers or not datagram:
+        """Handles datagrams from known peers only; other senders could report every server as overloaded."""
+        if addr not in self.peer_numbers or not datagram:
             return
         try:
-            if datagram[0] in self._readers:
-                self._readers[datagram[0]](datagram, self.numbers[addr])
+            if datagram[0] in self._handlers:
+                self._handlers[datagram[0]](datagram, self.peer_numbers[addr])
             elif datagram[0] in TAG_WIDTHS_BY_FIRST_BYTE:
-                self.receive(datagram, self.numbers[addr])
+                self.receive(datagram, self.peer_numbers[addr])
             else:
                 self.read_text(datagram)
         except (ValueError, IndexError):
             return
 
     def read_text(self, datagram: bytes) -> None:
-        """Reads a message time, and a typical delay where there is one. Raises ValueError or IndexError."""
-        server_id, *words = datagram.decode().split(" ")
-        seconds = float(words[0])
-        typical_delay = float(words[1]) if len(words) > 1 else 0.0
+        """Parses the text format: id, message time, optional delay. Raises ValueError or IndexError."""
+        server_id, *fields = datagram.decode().split(" ")
+        seconds = float(fields[0])
+        typical_delay = float(fields[1]) if len(fields) > 1 else 0.0
         server = self.tags().by_id.get(server_id)
         if server and 0 <= seconds < MAX_MESSAGE_TIME and 0 <= typical_delay < MAX_MESSAGE_TIME:
             self.message_time_received(server, seconds, typical_delay)
