--- a/brambleplank/sidecar/__init__.py
+++ b/brambleplank/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy beside one application: its configuration, the checks of it, and its start."""
+"""The sidecar, a proxy beside one application: its configuration file, the checks of it, and the process."""
--- a/brambleplank/sidecar/application.py
+++ b/brambleplank/sidecar/application.py
@@ -1,4 +1,4 @@
-"""What a sidecar says to the processes beside it: the application that it starts, and a service manager."""
+"""Starts and stops the application of a sidecar, and notifies the service manager."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 from brambleplank.net.loop import reactor
 
-SIGNAL_CODE_BASE = 128  # exit code of a process ended by a signal, less the signal, as shells have it
+SIGNAL_CODE_BASE = 128  # added to the signal number for the exit code of a killed process, as shells do
 
 
 class Application(ProcessProtocol):
-    """The application as a process, with the sidecar's own standard streams."""
+    """The application's process, which inherits the standard streams of the sidecar."""
 
     transport: Any
 
@@ -41,7 +41,7 @@
 
 
 def notify(state: str) -> None:
-    """Sends a state to the service manager that started this, where one did (sd_notify(3))."""
+    """Sends a state to the service manager, if one started this process (sd_notify(3))."""
     path = os.environ.get("NOTIFY_SOCKET")
     if not path or path[0] not in "/@":
         return
--- a/brambleplank/sidecar/endpoint_sources.py
+++ b/brambleplank/sidecar/endpoint_sources.py
@@ -1,4 +1,4 @@
-"""Where a sidecar's servers come from: its own file, a file of servers, or Consul."""
+"""The endpoint sources of a sidecar: its own file, a file of servers, or Consul."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
 
 class StaticEndpoints:
-    """The servers that the sidecar's own file lists: they change on SIGHUP alone."""
+    """The servers listed in the sidecar's own file, which change only on SIGHUP."""
 
     def __init__(self, proxy: Proxy, servers: list[server_file.Server]) -> None:
         self.proxy = proxy
         self.servers = servers
 
     def ensure_watching(self) -> None:
-        """Does nothing, as there is nothing to watch."""
+        """Does nothing: there is nothing to watch."""
 
     def stop(self) -> None:
-        """Does nothing, as nothing is watched."""
+        """Does nothing: nothing is watched."""
 
     def apply_initial_list(self) -> None:
-        """Gives the whole list to the proxy."""
+        """Passes the complete list to the proxy."""
         self.proxy.endpoints_received(*server_file.endpoints_of(self.servers), True)
 
     def update(self, servers: list[server_file.Server]) -> None:
-        """Gives a list to the proxy if it differs."""
+        """Passes a new list to the proxy if it differs from the current one."""
         if servers != self.servers:
             self.servers = servers
             self.apply_initial_list()
 
 
 def endpoint_source(proxy: Proxy, loaded: LoadedFile) -> FileSource | ConsulSource | StaticEndpoints:
-    """Returns the source of a file's servers, which is not begun yet."""
+    """Returns the endpoint source that a file configures; the caller starts it."""
     path = loaded.servers_path()
     if path is not None:
         return FileSource(proxy, path, loaded.servers)
@@ -48,7 +48,7 @@
 
 
 def consul_settings(consul: Consul) -> ConsulSettings:
-    """Returns the table `consul` as the discovery takes it."""
+    """Returns the settings of Consul discovery from the table `consul`."""
     return ConsulSettings(
         [address for address in map(addresses.parse, consul.agents) if address],
         consul.services,
--- a/brambleplank/sidecar/explain.py
+++ b/brambleplank/sidecar/explain.py
@@ -1,4 +1,4 @@
-"""Each effective value of a file: where it comes from, what it does, which rule it serves. Free of I/O."""
+"""Lists the effective values of a file, with their origin, description and rule. Free of I/O."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
     value_type,
 )
 
-MAX_LISTED_SERVERS = 20  # servers that are listed one by one
+MAX_LISTED_SERVERS = 20  # more servers than these are only counted
 
 
 @dataclass(frozen=True)
 class Value:
-    """One key of a file."""
+    """The effective value of one key of a file."""
 
     key: str
     value: str
@@ -35,18 +35,18 @@
     rule: str
 
     def to_dict(self) -> dict[str, Any]:
-        """Returns it as JSON has it."""
+        """Returns the value as a dictionary for JSON output."""
         return asdict(self)
 
 
 def effective_values(loaded: LoadedFile) -> Iterator[Value]:
-    """Yields every value of a file, faults or not; those that could not be read are left out."""
+    """Yields every effective value of a file that could be decoded."""
     if loaded.file is not None and loaded.reading is not None:
         yield from table_values(loaded, loaded.file, ())
 
 
 def table_values(loaded: LoadedFile, shape: Any, at: KeyPath) -> Iterator[Value]:
-    """Yields the values of a table and of the tables inside it."""
+    """Yields the values of a table and of its nested tables."""
     hints = get_type_hints(type(shape), include_extras=True)
     for field in msgspec.structs.fields(type(shape)):
         hint = hints[field.name]
@@ -67,12 +67,12 @@
 
 
 def list_item_shape(hint: Any) -> Any:
-    """Returns the shape of a list's tables; None if the key is no such list."""
+    """Returns the struct of the tables in a list; None if the key isn't a list of tables."""
     return next((each for each in get_args(value_type(hint)) if is_shape(each)), None)
 
 
 def value_origin(loaded: LoadedFile, path: KeyPath) -> str:
-    """Returns where a value comes from."""
+    """Returns the origin of a value: an environment variable, a line of the file, or the default."""
     key = ".".join(str(part) for part in path)
     if key in loaded.from_environment:
         return f"environment {loaded.from_environment[key]}"
@@ -81,7 +81,7 @@
 
 
 def all_keys(shape: Any = File, at: str = "") -> Iterator[tuple[str, Any]]:
-    """Yields every key that a file may have, with its hint."""
+    """Yields every key that a file can have, with its type hint."""
     for name, hint in get_type_hints(shape, include_extras=True).items():
         kind = value_type(hint)
         key = f"{at}.{name}" if at else name
--- a/brambleplank/sidecar/file_changes.py
+++ b/brambleplank/sidecar/file_changes.py
@@ -1,7 +1,4 @@
-"""What a changed file means for a running sidecar: which keys a reload takes up, which wait for a restart.
-
-Free of I/O.
-"""
+"""Compares two files of a sidecar: which changes a reload applies, and which need a restart. Free of I/O."""
 
 from __future__ import annotations
 
@@ -14,14 +11,19 @@
 from brambleplank.discovery.file.server_file import Server
 from brambleplank.sidecar.reader import LoadedFile
 
-RELOADABLE_KEYS = ("limits.connections", "limits.descriptors", "limits.memory", "servers.file")  # for SIGHUP
+RELOADABLE_KEYS = (
+    "limits.connections",
+    "limits.descriptors",
+    "limits.memory",
+    "servers.file",
+)  # SIGHUP applies them
 IGNORED_KEYS = ("end",)
 RESTART_EFFECT = "its restart moves every standing connection once"
 
 
 @dataclass(frozen=True)
 class Change:
-    """One key that differs; `breaks` says what that does to established sessions, empty for nothing."""
+    """One key that differs; `breaks` is the effect on established sessions, empty if there is none."""
 
     key: str
     live: bool
@@ -32,12 +34,12 @@
         return f"{self.key}: {when}" + (f"; {self.breaks}" if self.breaks else "")
 
     def to_dict(self) -> dict[str, Any]:
-        """Returns it as JSON has it."""
+        """Returns the change as a dictionary for JSON output."""
         return asdict(self)
 
 
 def has_different_discovery(old: LoadedFile, new: LoadedFile) -> bool:
-    """Whether servers come from another kind of discovery: this file, a file of them, or Consul."""
+    """Whether the files use different kinds of discovery: the file itself, a file of servers, or Consul."""
 
     def kind(loaded: LoadedFile) -> tuple[bool, bool]:
         return loaded.servers_path() is not None, bool(loaded.file and loaded.file.consul)
@@ -46,9 +48,9 @@
 
 
 def compare(old: LoadedFile, new: LoadedFile) -> list[Change]:
-    """Returns the keys whose effective values differ between two files without fault, in the files' order."""
+    """Returns the keys whose effective values differ between two valid files, in the order of the file."""
     if has_different_discovery(old, new):
-        breaks = f"they come from elsewhere, and nothing of the file is taken up before; {RESTART_EFFECT}"
+        breaks = f"the kind of discovery differs; SIGHUP applies nothing of this file; {RESTART_EFFECT}"
         return [Change("servers", False, breaks)]
     return (
         changed_keys(old, new) + removed_service_types(old, new) + changed_servers(old.servers, new.servers)
@@ -56,7 +58,7 @@
 
 
 def changed_keys(old: LoadedFile, new: LoadedFile) -> list[Change]:
-    """Returns the keys that differ, servers apart."""
+    """Returns the keys that differ, except the servers."""
     before = flatten(old.file)
     now = flatten(new.file)
     changes = []
@@ -69,7 +71,7 @@
 
 
 def removed_service_types(old: LoadedFile, new: LoadedFile) -> list[Change]:
-    """Returns the service types that the new file has no more."""
+    """Returns the service types that the new file no longer has."""
     removed = {each.name for each in old.file.service_type} if old.file else set()
     removed -= {each.name for each in new.file.service_type} if new.file else set()
     breaks = "flows of this type are turned away as garbled after the restart"
@@ -77,7 +79,7 @@
 
 
 def changed_servers(old: list[Server], new: list[Server]) -> list[Change]:
-    """Returns servers that are new, gone or changed; established sessions stay where they are."""
+    """Returns the servers that are added, removed or changed; established sessions stay on their server."""
     before = {server.name: server for server in old}
     changes = []
     for server in new:
@@ -92,7 +94,7 @@
 
 
 def server_change(old: Server | None, new: Server) -> str:
-    """Returns how a server differs from what it was; empty if it does not."""
+    """Returns how a server changed; empty if it didn't."""
     if old is None:
         return "new: flows are placed there"
     if addresses.parse(old.address) != addresses.parse(new.address):
@@ -103,7 +105,7 @@
 
 
 def flatten(value: Any, key: str = "") -> dict[str, Any]:
-    """Returns every key of nested tables with its value; a list is one value."""
+    """Returns the keys of nested tables, joined by dots, with their values; a list is one value."""
     if not isinstance(value, msgspec.Struct):
         return {key: value}
     found: dict[str, Any] = {}
--- a/brambleplank/sidecar/platform_settings.py
+++ b/brambleplank/sidecar/platform_settings.py
@@ -1,4 +1,4 @@
-"""A sidecar's file as the platform's settings, so that one decoder fills the settings of both."""
+"""Converts a sidecar's file into the platform's settings, so that both share one decoder."""
 
 from __future__ import annotations
 
@@ -6,17 +6,15 @@
 
 from brambleplank.sidecar.shapes import File, ServiceType
 
-# The platform's word for each effect of a sidecar's file.
+# The platform's name of each effect in a sidecar's file, in the order of their idempotency ranks.
 PLATFORM_EFFECTS = {"repeatable": "repeatable", "referenced": "by_key", "once-only": "once"}
 MICROSECONDS_PER_SECOND = 1_000_000
-TICK_SECONDS = 0.005  # seconds; decisions leave two of them as a margin ahead of each limit
-POLL_INTERVAL_SECONDS = (
-    10.0  # seconds; a list in a file on this machine seldom fails, and is soon asked for again
-)
+TICK_SECONDS = 0.005  # decisions keep two ticks of margin before each time limit
+POLL_INTERVAL_SECONDS = 10.0  # reading a list from a local file seldom fails, and is retried soon
 
 
 def platform_settings(file: File) -> dict[str, Any]:
-    """Returns the settings of a file as the platform writes them; times in microseconds."""
+    """Returns a file as the platform's settings, with times in microseconds."""
     return {
         "balancers": file.sidecars,
         "slot_no": file.number,
@@ -52,7 +50,7 @@
 
 
 def traffic_class_settings(service_type: ServiceType) -> dict[str, Any]:
-    """Returns one traffic class as the platform writes it."""
+    """Returns the platform's settings of one traffic class."""
     settings: dict[str, Any] = {
         "name": service_type.name,
         "effect": PLATFORM_EFFECTS[service_type.effect],
@@ -67,5 +65,5 @@
 
 
 def microseconds(seconds: float) -> int:
-    """Returns a time in whole microseconds."""
+    """Returns a duration rounded to whole microseconds."""
     return round(seconds * MICROSECONDS_PER_SECOND)
--- a/brambleplank/sidecar/reader.py
+++ b/brambleplank/sidecar/reader.py
@@ -1,4 +1,4 @@
-"""A sidecar's file, read and judged as a whole: from its text, the environment and the machine."""
+"""Reads and checks a sidecar's file, with the environment variables and the limits of the machine."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from brambleplank.sidecar.shapes import File
 from brambleplank.tables import DocumentReader, Fault, apply_rules
 
-# Variables that give a value which the file leaves out. None may hide one that the file has.
+# Variables that set a key which the file leaves out; for a key in the file they are a fault.
 ENVIRONMENT_KEYS: dict[str, tuple[str, ...]] = {
     "BRAMBLEPLANK_LISTEN": ("listen", "address"),
     "BRAMBLEPLANK_SOCKET": ("listen", "socket"),
@@ -30,7 +30,7 @@
 
 @dataclass
 class LoadedFile:
-    """A sidecar's file as it was read: what it says, or every fault that keeps it from being used."""
+    """A sidecar's file after reading: its decoded content, or every fault that keeps it from being used."""
 
     path: str
     file: File | None = None
@@ -38,38 +38,40 @@
     settings: Settings | None = None
     faults: list[Fault] = field(default_factory=list)
     reading: DocumentReader | None = None
-    from_environment: dict[str, str] = field(default_factory=dict)  # the variable that gave a key, by key
+    from_environment: dict[str, str] = field(default_factory=dict)  # environment variable by the key it set
 
     def fault_lines(self) -> list[str]:
-        """Returns every fault as people read it."""
+        """Returns each fault as a line of text that begins with the path of the file."""
         return [f"{self.path}: {fault}" for fault in self.faults]
 
     def servers_path(self) -> str | None:
-        """Returns the file of servers, beside the sidecar's own unless its path is whole; None for none."""
+        """Returns the path of the file of servers, or None. A relative path starts at the sidecar's file."""
         if self.file is None or self.file.servers is None:
             return None
         return str(Path(self.path).parent / self.file.servers.file)
 
 
 def machine_limits() -> Machine:
-    """Returns what this machine allows this process."""
+    """Returns the limits of this machine for this process."""
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     return Machine(hard if hard != resource.RLIM_INFINITY else 0, max(0, memory))
 
 
 def read_text(path: str) -> str | Fault:
-    """Returns a file's text, or what keeps it from being read."""
+    """Returns the text of a file, or the fault that kept it from being read."""
     try:
         return Path(path).read_bytes().decode()
     except OSError as error:
-        return Fault(1, "file", f"cannot be read: {error.strerror}", "name a file that is there")
+        return Fault(
+            1, "file", f"cannot be read: {error.strerror}", "name a file that exists and is readable"
+        )
     except UnicodeDecodeError as error:
         return Fault(1, "file", f"not UTF-8 at byte {error.start}", "save it as UTF-8")
 
 
 def read(path: str, environment: dict[str, str] | None = None, limits: Machine | None = None) -> LoadedFile:
-    """Returns the file at a path; every fault is in the result, none is raised."""
+    """Reads and checks the file at a path; faults are returned in the result, not raised."""
     loaded = LoadedFile(path)
     text = read_text(path)
     if isinstance(text, Fault):
@@ -81,7 +83,7 @@
 
 
 def check_text(loaded: LoadedFile, text: str, environment: dict[str, str], limits: Machine) -> None:
-    """Adds to the file what its text says, or every fault of it."""
+    """Fills `loaded` with the decoded content of the text, or with all its faults."""
     reading = DocumentReader(text)
     loaded.reading = reading
     if not reading.is_unreadable:
@@ -97,9 +99,9 @@
 
 
 def apply_environment(loaded: LoadedFile, reading: DocumentReader, environment: dict[str, str]) -> None:
-    """Takes up what the environment gives; what would hide a value of the file is a fault.
+    """Adds the values of environment variables; a variable for a key that the file has is a fault.
 
-    Otherwise the file would say one thing and the sidecar do another.
+    An override would make the sidecar run with a value other than the one in its file.
     """
     for variable, keys in ENVIRONMENT_KEYS.items():
         if not environment.get(variable):
@@ -118,7 +120,7 @@
 
 
 def read_servers(loaded: LoadedFile, file: File, reading: DocumentReader) -> None:
-    """The file of servers that the sidecar's names; its faults are named by its own lines."""
+    """Reads the file of servers that the sidecar's file names; its faults carry the lines of that file."""
     loaded.servers = file.server or []
     path = loaded.servers_path()
     if path is None:
@@ -134,9 +136,9 @@
 
 
 def check_routes(loaded: LoadedFile, file: File, reading: DocumentReader) -> None:
-    """The file of rules that the fleet's table names, linted by what this file says.
+    """Reads the route table that `fleet.routes` names, and lints it against the sidecar's file.
 
-    What only this needs is imported only here.
+    Imports the routing modules here, as sidecars without a route table don't need them.
     """
     if file.fleet is None or not file.fleet.routes:
         return
@@ -170,11 +172,11 @@
 
 
 def decode_sidecar_settings(reading: DocumentReader, file: File) -> Settings | None:
-    """Returns the settings, by the same checks and the same decoder as for the platform's JSON."""
+    """Returns the settings; uses the same checks and decoder as for the platform's JSON."""
     settings = platform_settings(file)
     try:
         check_settings(settings)
         return decode_settings(settings, sockets=True)
     except InvalidConfigurationError as error:
-        reading.add_fault((), str(error), "report this: the sidecar's own checks should have named it")
+        reading.add_fault((), str(error), "report this as a bug: the checks of the file should have found it")
         return None
