--- a/brambleplank/cli/__init__.py
+++ b/brambleplank/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command `brambleplank`: one file a command, imported when it is called."""
+"""The command `brambleplank`, with one module for each subcommand."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class LazyGroup(click.Group):
-    """Imports a command when it is called, as each would cost the start of the others."""
+    """Imports the module of a subcommand only when needed, to keep the start of the others fast."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002  the base class's argument
-        """Returns the names of all commands, in the order of the help page."""
+        """Returns the names of all subcommands, in the order of the help page."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:  # noqa: ARG002
-        """Returns a command; None if there is none of that name."""
+        """Imports and returns a subcommand; None if there is none of that name."""
         if cmd_name not in COMMANDS:
             return None
         module = importlib.import_module(f"brambleplank.cli.{cmd_name}_command")
--- a/brambleplank/cli/__main__.py
+++ b/brambleplank/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m brambleplank.cli`: the same as the installed command."""
+"""Runs the command as `python -m brambleplank.cli`."""
 
 from brambleplank.cli import main
 
--- a/brambleplank/cli/check_command.py
+++ b/brambleplank/cli/check_command.py
@@ -1,4 +1,4 @@
-"""`brambleplank check`."""
+"""The command `brambleplank check`."""
 
 from __future__ import annotations
 
@@ -16,10 +16,12 @@
 
 @click.command("check")
 @click.argument("file", type=click.Path())
-@click.option("--json", "as_json", is_flag=True, help="One JSON object, for machines.")
-@click.option("--against", "old", type=click.Path(), help="What a reload from OLD would mean.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
+@click.option(
+    "--against", "old", type=click.Path(), help="Print what a reload would change against the file OLD."
+)
 def command(file: str, as_json: bool, old: str | None) -> None:
-    """Name every fault of FILE at once, by line and key; exit code 2 if there is one.
+    """Report all faults of FILE, with line and key; exits with code 2 if there are any.
 
     FILE is a sidecar's file, or a file of [[server]] tables.
     """
@@ -32,16 +34,16 @@
     else:
         print_result(file, checked, changes)
         if old is not None and not checked.faults and not changes:
-            click.echo("nothing changes")
+            click.echo("no changes")
         count = len(checked.faults)
-        verdict = f"{count} to mend" if count else f"good; {len(checked.servers)} servers"
+        verdict = f"{count} to fix" if count else f"good; {len(checked.servers)} servers"
         click.echo(f"{file}: {verdict}")
     sys.exit(2 if checked.faults else 0)
 
 
 @dataclass(frozen=True)
 class CheckedFile:
-    """The faults and servers of a file; `loaded` is None for a list of servers."""
+    """The faults and servers of a file; `loaded` is None for a file of servers."""
 
     faults: list[Fault]
     servers: list[server_file.Server]
@@ -49,7 +51,7 @@
 
 
 def read_and_check(file: str) -> CheckedFile:
-    """Reads a sidecar's file, or a list of servers."""
+    """Reads and checks a sidecar's file or a file of servers."""
     text = reader.read_text(file)
     if isinstance(text, str) and server_file.is_server_file(text):
         reading, servers = server_file.parse(text)
@@ -59,12 +61,12 @@
 
 
 def changes_since(old: str, checked: CheckedFile) -> list[file_changes.Change]:
-    """Returns the changes against an old file; ends the command if they cannot be told."""
+    """Returns the changes against an old file; exits if that file has faults or is of the other kind."""
     before = read_and_check(old)
     if before.faults or (before.loaded is None) != (checked.loaded is None):
         for fault in before.faults:
             click.echo(f"{old}: {fault}", err=True)
-        click.echo(f"{old}: has faults or is of another kind: nothing can be said against it", err=True)
+        click.echo(f"{old}: has faults or is of another kind, so it can't be compared", err=True)
         sys.exit(2)
     if checked.loaded is None or before.loaded is None:
         return file_changes.changed_servers(before.servers, checked.servers)
@@ -72,7 +74,7 @@
 
 
 def result_dict(file: str, checked: CheckedFile, changes: list[file_changes.Change]) -> dict[str, Any]:
-    """Returns the result as JSON has it."""
+    """Returns the result as a dictionary for JSON output."""
     return {
         "file": file,
         "good": not checked.faults,
--- a/brambleplank/cli/convert_command.py
+++ b/brambleplank/cli/convert_command.py
@@ -1,4 +1,4 @@
-"""`brambleplank convert`."""
+"""The command `brambleplank convert`."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @click.command("convert")
 @click.argument("file", type=click.Path())
-@click.option("--discovery", help="To JSON: the address of the platform's discovery.")
-@click.option("-o", "--out", type=click.Path(), help="Write there instead of to standard output.")
+@click.option("--discovery", help="Address of the platform's discovery; needed for JSON output.")
+@click.option("-o", "--out", type=click.Path(), help="File to write instead of standard output.")
 def command(file: str, discovery: str | None, out: str | None) -> None:
-    """Turn the platform's JSON into a sidecar's file, or a sidecar's file into the platform's JSON."""
+    """Convert the platform's JSON to a sidecar's file, or a sidecar's file to the platform's JSON."""
     text = reader.read_text(file)
     if not isinstance(text, str):
         fail(f"{file}: {text.wrong}; {text.instead}")
@@ -30,7 +30,7 @@
 
 
 def to_json(file: str, discovery: str | None) -> str:
-    """Returns the platform's JSON of a sidecar's file; ends the command where there is none."""
+    """Converts a sidecar's file to the platform's JSON; exits if the platform has no equivalent."""
     loaded = reader.read(file)
     if loaded.faults or loaded.file is None:
         fail("\n".join(loaded.fault_lines()))
@@ -47,7 +47,7 @@
 
 
 def to_toml(file: str, text: str) -> str:
-    """Returns a sidecar's file of the platform's JSON; ends the command where there is none."""
+    """Converts the platform's JSON to a sidecar's file; exits if the JSON is invalid."""
     try:
         return writer.file_text(writer.from_platform(json.loads(text)))
     except (ValueError, RecursionError) as error:
@@ -55,10 +55,10 @@
     except KeyError as error:
         fail(f"{file}: {error.args[0]}: missing")
     except (TypeError, AttributeError, IndexError) as error:
-        fail(f"{file}: not the platform's form: {error}")
+        fail(f"{file}: not valid platform JSON: {error}")
 
 
 def fail(reason: str) -> NoReturn:
-    """Ends the command with exit code 2."""
+    """Prints the reason to standard error and exits with code 2."""
     click.echo(reason, err=True)
     sys.exit(2)
--- a/brambleplank/cli/explain_command.py
+++ b/brambleplank/cli/explain_command.py
@@ -1,4 +1,4 @@
-"""`brambleplank explain`."""
+"""The command `brambleplank explain`."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @click.command("explain")
 @click.argument("file", type=click.Path())
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a value, for machines.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per value.")
 def command(file: str, as_json: bool) -> None:
-    """Show each effective value of FILE, where it comes from and which rule it serves."""
+    """Show each effective value of FILE, with its origin, its description and the rule it serves."""
     loaded = reader.read(file)
     if loaded.faults:
         click.echo("\n".join(loaded.fault_lines()), err=True)
@@ -25,7 +25,11 @@
             click.echo(json.dumps(value.to_dict()))
         return
     columns = ("key", "value", "origin")
-    key, worth, origin = (max(len(getattr(each, name)) for each in found) for name in columns)
-    for each in found:
-        does = each.does + (f" [{each.rule}]" if each.rule else "")
-        click.echo(f"{each.key:{key}}  {each.value:{worth}}  {each.origin:{origin}}  {does}".rstrip())
+    key_width, value_width, origin_width = (
+        max(len(getattr(each, name)) for each in found) for name in columns
+    )
+    for row in found:
+        does = row.does + (f" [{row.rule}]" if row.rule else "")
+        click.echo(
+            f"{row.key:{key_width}}  {row.value:{value_width}}  {row.origin:{origin_width}}  {does}".rstrip()
+        )
--- a/brambleplank/cli/new_command.py
+++ b/brambleplank/cli/new_command.py
@@ -1,4 +1,4 @@
-"""`brambleplank new`."""
+"""The command `brambleplank new`."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 @click.command("new")
 @click.option("--application", help="The application's name.")
 @click.option("--listen", help=f"Address on loopback where it connects; {DEFAULT_LISTEN} if left out.")
-@click.option("--socket", help="Or the path of a Unix socket.")
+@click.option("--socket", help="Path of a Unix socket, instead of --listen.")
 @click.option("--service", "services", multiple=True, help=SERVICE_HELP)
 @click.option("--server", "servers", multiple=True, help="NAME=ADDRESS; may be given again.")
 @click.option("--consul", "agents", multiple=True, help="Servers from Consul: an agent; may be given again.")
@@ -35,21 +35,21 @@
 @click.option("--zone", default="", help="The sidecar's own zone.")
 @click.option("--connections", type=int, help="Standing connections at most.")
 @click.option("--drain", help='Drain window, like "1s".')
-@click.option("--connects", type=int, help="Connects a flow, 1 to 4.")
-@click.option("--ask", is_flag=True, help="Ask for what was not given, even of no terminal.")
+@click.option("--connects", type=int, help="Connects per flow, 1 to 4.")
+@click.option("--ask", is_flag=True, help="Prompt for missing options, even without a terminal.")
 @click.option("-o", "--out", type=click.Path(), help="The file to write; APPLICATION.toml if left out.")
-@click.option("--force", is_flag=True, help="Write over a file that is there.")
+@click.option("--force", is_flag=True, help="Overwrite existing files.")
 def command(**options: Any) -> None:
-    """Write a commented file for one application, from options or questions, and its file of servers.
+    """Write a commented file for one application, from options or prompts, and its file of servers.
 
-    Nothing is written that `check` would refuse.
+    Writes nothing if `check` would report a fault.
     """
     write_files(complete_options(Options(**options)))
 
 
 @dataclass
 class Options:
-    """What was given on the command line."""
+    """The options of the command line."""
 
     application: str | None
     listen: str | None
@@ -68,7 +68,7 @@
 
 
 def complete_options(options: Options) -> Options:
-    """Returns the options with answers for what was not given. Raises UsageError if nobody can be asked."""
+    """Prompts for missing options. Raises UsageError if there is no terminal for a required one."""
     can_ask = options.ask or sys.stdin.isatty()
     options.application = options.application or ask_text(can_ask, "Application", "--application")
     if not options.listen and not options.socket:
@@ -87,7 +87,7 @@
 
 
 def write_files(options: Options) -> None:
-    """Writes the file and its file of servers; ends the command where `check` would refuse them."""
+    """Writes the file and its file of servers; exits if they have a fault or exist already."""
     path = Path(options.out or f"{options.application}.toml")
     servers_path = path.with_name(f"{path.stem}.servers.toml")
     servers = [parse_server(text, options.zone) for text in options.servers]
@@ -97,7 +97,7 @@
         texts[servers_path] = writer.servers_text(servers)
     for each in texts:
         if each.exists() and not options.force:
-            raise click.ClickException(f"{each}: is there; --force writes over it")
+            raise click.ClickException(f"{each}: exists already; use --force to overwrite it")
     for each, text in reversed(texts.items()):
         writer.replace_file(each, text)
     click.echo(f"{path}: written; servers in {servers_path}" if file.servers else f"{path}: written")
@@ -105,7 +105,7 @@
 
 
 def document_from(options: Options, servers_file: str) -> dict[str, Any]:
-    """Returns the tables of the file."""
+    """Returns the tables of the file for the options."""
     document: dict[str, Any] = {
         "application": options.application,
         "zone": options.zone,
@@ -127,15 +127,15 @@
 
 
 def ask_text(can_ask: bool, question: str, option: str, default: str | None = None) -> str:
-    """Returns the answer to a question; raises UsageError, which names the option, if nobody can be asked."""
+    """Prompts for a value; raises UsageError, which names the option, if there is no terminal."""
     if not can_ask:
-        raise click.UsageError(f"{option}: missing, and there is nobody to ask")
+        raise click.UsageError(f"{option}: missing, and standard input is not a terminal to ask on")
     answer: str = click.prompt(question, default=default)
     return answer
 
 
 def ask_service(can_ask: bool) -> str:
-    """Returns a service type from questions, in the form of its option."""
+    """Prompts for a service type; returns it in the form of --service."""
     name = ask_text(can_ask, "Service type", "--service", "warnings")
     effect = click.prompt("What if a flow runs twice?", type=click.Choice(EFFECTS), default="once-only")
     setup = click.prompt("Setup target", default="300ms")
@@ -149,7 +149,7 @@
 
 
 def parse_service(text: str) -> dict[str, Any]:
-    """Returns the table of a service type from its option."""
+    """Parses a --service option into the table of a service type."""
     parts = text.split(":")
     if len(parts) not in (4, 6):
         raise click.UsageError(f"--service {text}: need {SERVICE_HELP}")
@@ -158,7 +158,7 @@
 
 
 def parse_server(text: str, zone: str) -> Server:
-    """Returns a server from its option."""
+    """Parses a --server option."""
     name, equals, address = text.partition("=")
     if not equals:
         raise click.UsageError(f"--server {text}: need NAME=ADDRESS")
@@ -166,7 +166,7 @@
 
 
 def limits_for(connections: int, servers: int) -> dict[str, Any]:
-    """Returns descriptors and memory for so many connections, with some to spare."""
+    """Returns limits of descriptors and memory that suffice for a number of connections, rounded up."""
     needed = max(MIN_MEMORY, memory_for(connections, servers))
     memory = -(-needed // MEMORY_STEP) * MEMORY_STEP
     return {
@@ -176,7 +176,7 @@
 
 
 def checked_file(document: dict[str, Any], servers: list[Server]) -> File:
-    """Returns the file of the options; ends the command with every fault in it, if there is one."""
+    """Decodes and checks the file; prints all faults and exits if there are any."""
     reading = DocumentReader.from_tables(document)
     file = reading.decode(File, reading.tables)
     check_file(reading, file, servers, reader.machine_limits())
--- a/brambleplank/cli/run_command.py
+++ b/brambleplank/cli/run_command.py
@@ -1,4 +1,4 @@
-"""`brambleplank run`."""
+"""The command `brambleplank run`."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     With a command after it (run FILE -- COMMAND ...), the application is started once the sidecar takes
     flows, told to leave once the sidecar is empty, and its exit code is the sidecar's.
     """
-    # Both may come amid the imports. The file is read after them; until there is anything to empty, a planned
-    # stop does no more than this.
+    # Either signal may arrive during the imports. SIGHUP is ignored, as the file is read after them anyway;
+    # SIGTERM exits at once, as there is nothing to drain yet.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
--- a/brambleplank/cli/schema_command.py
+++ b/brambleplank/cli/schema_command.py
@@ -1,4 +1,4 @@
-"""`brambleplank schema`."""
+"""The command `brambleplank schema`."""
 
 from __future__ import annotations
 
--- a/brambleplank/cli/watch_command.py
+++ b/brambleplank/cli/watch_command.py
@@ -1,4 +1,4 @@
-"""`brambleplank watch`."""
+"""The command `brambleplank watch`."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @click.command("watch")
 @click.argument("file", type=click.Path())
-@click.option("--seconds", type=click.FloatRange(0), default=0.0, help="For how long; 0: until interrupted.")
+@click.option("--seconds", type=click.FloatRange(0), default=0.0, help="Duration; 0: until interrupted.")
 def command(file: str, seconds: float) -> None:
-    """Follow the servers of FILE, and print each change, what was made of it and why, and its delay."""
+    """Follow the servers of FILE; print each change, its effect, the reason and the delay."""
     from brambleplank.sidecar.watch import main
 
     sys.exit(main(file, seconds, click.echo))
--- a/brambleplank/sidecar/rules.py
+++ b/brambleplank/sidecar/rules.py
@@ -164,7 +164,7 @@
         reading.add_fault(
             ("consul", "steady"),
             f"greater than consul.steadiest, {duration_text(file.consul.steadiest)}",
-            f"write {duration_text(file.consul.steadiest)} or less",
+            "write that or less",
         )
 
 
@@ -232,7 +232,7 @@
     if file.listen.outside_loopback not in ("", OUTSIDE_LOOPBACK_CONSENT):
         reading.add_fault(
             ("listen", "outside_loopback"),
-            f'need the exact text "{OUTSIDE_LOOPBACK_CONSENT}"',
+            "not the exact text that allows it",
             f'write outside_loopback = "{OUTSIDE_LOOPBACK_CONSENT}", or leave it out',
         )
 
--- a/brambleplank/sidecar/run.py
+++ b/brambleplank/sidecar/run.py
@@ -1,4 +1,4 @@
-"""The sidecar: one proxy beside one application, from its file to its exit code."""
+"""Runs a sidecar: starts its proxy and its application, handles reloads, and shuts both down."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 MEMORY_CHECK_INTERVAL = 0.5  # seconds
 READY_CHECK_INTERVAL = 0.02  # seconds
-APPLICATION_STOP_TIME = 10.0  # seconds that the application has after SIGTERM before it is killed
-APPLICATION_END_DELAY = 0.5  # seconds after the application's end in which its connections end as well
+APPLICATION_STOP_TIME = 10.0  # seconds between SIGTERM and SIGKILL for the application
+APPLICATION_END_DELAY = 0.5  # seconds for the application's connections to close after its process has ended
 
 
 class FileReader:
-    """Reads a sidecar's file in a thread, as a file of thousands of servers takes long enough to be felt."""
+    """Reads a sidecar's file in a thread: thousands of servers would block the event loop noticeably."""
 
     def __init__(
         self, path: str, loaded: Callable[[LoadedFile], None], failed: Callable[[str], None]
@@ -53,7 +53,7 @@
         self.is_requested_again = False
 
     def request(self) -> None:
-        """Reads the file; during a reading, reads it once more after that, as it may have been replaced."""
+        """Reads the file. During a read, schedules another one, as the file may have been replaced since."""
         if self.is_reading:
             self.is_requested_again = True
             return
@@ -78,7 +78,7 @@
 
 
 class Sidecar:
-    """A proxy, its endpoint source, its listener, its application; and the order of their starts and ends."""
+    """Owns a proxy, its endpoint source, listener and application; starts and stops them in order."""
 
     def __init__(self, loaded: LoadedFile, command: list[str]) -> None:
         assert loaded.file and loaded.settings
@@ -107,9 +107,9 @@
     # Start.
 
     def join_fleet(self) -> None:
-        """Takes part in the fleet, where the file has one.
+        """Joins the fleet, if the file has a table for one.
 
-        Raises Twisted's CannotListenError, RouteTableError, or OSError if the file of rules cannot be read.
+        Raises Twisted's CannotListenError; RouteTableError or OSError if the route table can't be read.
         """
         if self.file.fleet is None:
             return
@@ -137,7 +137,7 @@
         datagrams.set_receiver(link.datagram_received)
 
     def listen(self) -> None:
-        """Listens where the application connects. Raises SocketPathError, or Twisted's CannotListenError."""
+        """Opens the listener for the application. Raises SocketPathError, or Twisted's CannotListenError."""
         clients: Any = LineFrontend(self.proxy)
         listen = self.file.listen
         listener: Any
@@ -151,7 +151,7 @@
         listener.startListening()
 
     def begin(self) -> None:
-        """Begins to follow servers, once the reactor runs."""
+        """Installs the handlers for stop signals and starts discovery; called once the reactor runs."""
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: reactor.callFromThread(self.stop))
         self.source.apply_initial_list()
@@ -159,7 +159,10 @@
         self.check_ready()
 
     def check_memory(self) -> None:
-        """Notes how much memory is held: over its limit the process would be killed, with every session."""
+        """Updates the proxy's free memory, periodically.
+
+        Admission rejects requests near the limit: beyond it the process would be killed, with all sessions.
+        """
         with suppress(OSError, ValueError, IndexError):
             pages = int(Path("/proc/self/statm").read_bytes().split()[1])
             held = pages * resource.getpagesize()
@@ -167,7 +170,7 @@
         self.proxy.clock.call_later(MEMORY_CHECK_INTERVAL, self.check_memory)
 
     def check_ready(self) -> None:
-        """Says that it is ready once it takes requests; only then the application may be started."""
+        """Reports readiness and starts the application once the proxy accepts requests; polls until then."""
         if not self.proxy.accepts_requests():
             if not self.is_stopping:
                 self.proxy.clock.call_later(READY_CHECK_INTERVAL, self.check_ready)
@@ -182,7 +185,7 @@
             self.application.start(self.command)
 
     def write_ready_file(self) -> None:
-        """Writes the file that exists while requests are taken, where one is named."""
+        """Writes the ready file, if configured; it exists while requests are accepted."""
         path = self.file.ready.file
         if not path:
             return
@@ -194,7 +197,7 @@
     # Stop.
 
     def stop(self) -> None:
-        """SIGTERM: the proxy drains, then the application is asked to stop, then this ends."""
+        """Starts the shutdown: drains the proxy, then stops the application, then exits."""
         if self.is_stopping:
             return
         self.is_stopping = True
@@ -205,7 +208,7 @@
         self.proxy.stop()
 
     def drained(self) -> None:
-        """No client is left: asks the application to stop, or ends."""
+        """Called when no client is left: asks the application to stop, or exits if there is none."""
         if self.application is None:
             self.end()
             return
@@ -214,12 +217,12 @@
         self.proxy.clock.call_later(APPLICATION_STOP_TIME, self.kill_application)
 
     def kill_application(self) -> None:
-        """Kills an application that ignores SIGTERM; whoever waits for this process would wait for ever."""
+        """Kills an application that ignores SIGTERM; otherwise this process would never exit."""
         if self.application is not None:
             self.application.signal("KILL")
 
     def application_ended(self, code: int) -> None:
-        """The application has ended, by itself or as asked: its connections end, then this does."""
+        """Called when the application has ended: lets its connections close, then shuts down or exits."""
         self.application = None
         self.exit_code = code
         self.proxy.log(f"application ended with {code}")
@@ -229,7 +232,7 @@
             self.end()
 
     def end(self) -> None:
-        """Ends the process."""
+        """Stops the endpoint source and the reactor, which ends the process."""
         self.source.stop()
         if reactor.running:
             reactor.stop()
@@ -237,23 +240,23 @@
     # Reload.
 
     def reload(self) -> None:
-        """SIGHUP: what can change under established sessions is taken up; a wrong file changes nothing."""
+        """Handles SIGHUP: applies keys that can change at runtime; a file with a fault changes nothing."""
         self.reader.request()
 
     def reload_failed(self, reason: str) -> None:
-        """The file could not even be judged."""
+        """Called when reading the file raised an exception; logs its type."""
         self.proxy.log(f"reload: kept as it was: {reason}")
 
     def apply_file(self, loaded: LoadedFile) -> None:
-        """Takes up a file that was read, unless it has a fault or needs a restart."""
+        """Applies a file that was read, unless it has a fault or another kind of discovery."""
         if loaded.faults or loaded.file is None:
             others = len(loaded.faults) - 1
             more = f" (and {others} more)" if others > 0 else ""
             self.proxy.log(f"reload: kept as it was: {loaded.fault_lines()[0]}{more}")
             return
         if file_changes.has_different_discovery(self.loaded, loaded):
-            # A list that another source has not sent yet is empty: every server would be gone.
-            self.proxy.log("reload: kept as it was: servers come from elsewhere now, which takes a restart")
+            # The new source has no list yet, so replacing the old one would remove every server.
+            self.proxy.log("reload: kept as it was: the kind of discovery differs, which needs a restart")
             return
         self.log_changes(file_changes.compare(self.loaded, loaded))
         path_before = self.loaded.servers_path()
@@ -270,7 +273,7 @@
             self.source.update(loaded.servers)
 
     def log_changes(self, changes: list[file_changes.Change]) -> None:
-        """Logs which keys are taken up, and which wait for a restart."""
+        """Logs which keys are applied, and which need a restart."""
         live = [change.key for change in changes if change.live]
         waiting = [change.key for change in changes if not change.live]
         self.proxy.log(
@@ -279,7 +282,7 @@
         )
 
     def replace_source(self) -> None:
-        """Follows the servers where the file has them now."""
+        """Replaces the endpoint source by the one that the new file configures."""
         self.source.stop()
         self.source = endpoint_source(self.proxy, self.loaded)
         self.proxy.set_endpoint_source(self.source)
@@ -288,7 +291,7 @@
 
 
 def json_line_format() -> Callable[[float, str, dict[str, Any]], str]:
-    """Returns the form of log lines as JSON objects, one a line."""
+    """Returns a formatter of log lines that writes each as a JSON object."""
     from structlog.processors import JSONRenderer
 
     render = JSONRenderer()
@@ -300,7 +303,7 @@
 
 
 def main(path: str, command: list[str]) -> int:
-    """Runs until asked to stop or until the application has ended; returns the exit code, 2 for no start."""
+    """Runs until a signal or the application's end stops it; returns the exit code, 2 for a failed start."""
     early_reload = EarlyReload()
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
     loaded = read(path)
@@ -308,11 +311,12 @@
         print("\n".join(loaded.fault_lines()), file=sys.stderr)
         return 2
     if command and shutil.which(command[0]) is None:
-        print(f"{command[0]}: no such command to start as the application", file=sys.stderr)
+        print(f"{command[0]}: command of the application not found", file=sys.stderr)
         return 2
     raise_descriptor_limit(loaded.file.limits.descriptors if loaded.file else 0)
     sidecar = Sidecar(loaded, command)
-    # From here on clients may wait in the kernel's queue: the reactor, once it runs, begins with the stop.
+    # Clients may be in the accept queue from here on, so SIGTERM has to drain instead of exiting at once: the
+    # reactor calls `stop` as soon as it runs.
     signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(sidecar.stop))
     problem = open_listeners(sidecar)
     if problem:
@@ -321,13 +325,13 @@
     log_unhandled_exceptions(sidecar.proxy)
     reactor.callWhenRunning(sidecar.begin)
     reactor.callWhenRunning(early_reload.install, sidecar.reload)
-    reactor.run()  # its own signal handlers are wanted for the application's end; `begin` takes the others
+    reactor.run()  # its SIGCHLD handler reports the application's end; `begin` replaces the others
     block_exit_signals()
     return sidecar.exit_code
 
 
 def open_listeners(sidecar: Sidecar) -> str:
-    """Takes part in the fleet and listens; returns the key and what is wrong, empty for nothing."""
+    """Joins the fleet and opens the listener; returns the key and error of a failure, empty on success."""
     try:
         sidecar.join_fleet()
         sidecar.listen()
--- a/brambleplank/sidecar/schema.py
+++ b/brambleplank/sidecar/schema.py
@@ -1,4 +1,4 @@
-"""The JSON schema of a sidecar's file, for editors."""
+"""Generates the JSON schema of a sidecar's file, for editors."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def schema() -> str:
-    """The schema as JSON text. Its keys, descriptions and defaults are those of `shapes.py`."""
+    """Returns the schema as JSON text, generated from the structs in `shapes.py`."""
     shapes, parts = msgspec.json.schema_components([File], schema_hook=UNITS.__getitem__)
     found: dict[str, Any] = {
         "$schema": "https://json-schema.org/draft/2020-12/schema",
@@ -37,7 +37,7 @@
 
 
 def inner_shapes(shape: type[msgspec.Struct]) -> set[type[msgspec.Struct]]:
-    """The shape and all that its keys hold."""
+    """Returns a struct and all structs nested in it."""
     found = {shape}
     for hint in get_type_hints(shape, include_extras=True).values():
         for kind in (value_type(hint), *get_args(value_type(hint))):
@@ -47,7 +47,10 @@
 
 
 def as_file_values(value: Any) -> Any:
-    """Defaults as a file writes them, and short names."""
+    """Returns part of a schema with durations and sizes as text, and examples as JSON values.
+
+    Drops examples that are headers of tables.
+    """
     if isinstance(value, dict):
         return {
             key: [tomllib.loads(f"x = {each}")["x"] for each in inner if "[[" not in each]
--- a/brambleplank/sidecar/shapes.py
+++ b/brambleplank/sidecar/shapes.py
@@ -1,7 +1,7 @@
-"""The shape of a sidecar's file: every key with its unit, its range, its default and what it does.
+"""The structs of a sidecar's file: every key with its type, range, default and description.
 
-Times are "300ms" or "3s", sizes "64MiB". The ranges are those in which the rules can be kept; `rules.py`
-holds what concerns several keys at once.
+Durations are written like "300ms" or "3s", sizes like "64MiB". Within these ranges the proxy can keep its
+rules; checks that involve several keys are in `rules.py`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from brambleplank.fleet.shapes import Fleet
 from brambleplank.tables import Seconds, Size, default_value, key_note
 
-OUTSIDE_LOOPBACK_CONSENT = "any machine may connect"  # in words, as nobody writes it by accident
+OUTSIDE_LOOPBACK_CONSENT = "any machine may connect"  # a phrase, so that nobody sets it by accident
 
 
 class Listen(msgspec.Struct, forbid_unknown_fields=True):
--- a/brambleplank/sidecar/watch.py
+++ b/brambleplank/sidecar/watch.py
@@ -1,4 +1,4 @@
-"""Follows a sidecar's endpoint source without taking requests; prints each change and its time."""
+"""Follows a sidecar's endpoint source without accepting requests; prints each change with its time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EndpointPrinter:
-    """Takes the place of the proxy for an endpoint source: what the source calls there is printed."""
+    """Stands in for the proxy of an endpoint source, and prints what the source reports."""
 
     def __init__(self, settings: Settings | None, write_line: Callable[[str], object]) -> None:
         self.settings = settings
@@ -26,13 +26,13 @@
         self.write_line(f"{self.clock.now():.3f} {text}")
 
     def report_exception(self, error: BaseException, _trace: object) -> None:
-        """Prints an exception of the source."""
+        """Prints an exception that the source reports."""
         self.log(f"fault {type(error).__name__}: {error}")
 
     def endpoints_received(
         self, endpoints: list[Endpoint], addresses: dict[str, Address], whole: bool
     ) -> None:
-        """Prints each endpoint that is new, changed or gone."""
+        """Prints each endpoint that is added, changed or, in a complete list, removed."""
         listed = {endpoint.id for endpoint in endpoints}
         for server in [server for server in self.known if whole and server not in listed]:
             del self.known[server]
@@ -47,7 +47,7 @@
 
 
 def main(path: str, seconds: float, write_line: Callable[[str], object]) -> int:
-    """Runs for so many seconds, or until interrupted; returns 2 if the file has a fault."""
+    """Runs for the given seconds, or until interrupted if 0; returns 2 if the file has a fault, else 0."""
     loaded = read(path)
     if loaded.faults:
         write_line("\n".join(loaded.fault_lines()))
--- a/brambleplank/sidecar/writer.py
+++ b/brambleplank/sidecar/writer.py
@@ -1,4 +1,4 @@
-"""Writes a sidecar's file, with a comment to each key; and the platform's JSON from it."""
+"""Writes a sidecar's file with a comment on each key, and converts it from and to the platform's JSON."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     size_text,
 )
 
-COMMENT_COLUMN = 34  # where comments begin
+COMMENT_COLUMN = 34  # column at which comments begin
 MIB = 1024**2  # bytes
 
 
 def toml_value(value: Any) -> Any:
-    """Returns a value as TOML has it."""
+    """Returns a value for TOML: durations and sizes as text, others unchanged."""
     if isinstance(value, Seconds):
         return duration_text(value)
     if isinstance(value, Size):
@@ -43,7 +43,7 @@
 
 
 def table_of(shape: Any, comments: bool, all_keys: bool) -> Table:
-    """Returns the table of a shape, with the lists of tables inside it but no other tables."""
+    """Returns a struct as a table, with its nested lists of tables but not its nested tables."""
     table = tomlkit.table()
     add_keys(table, shape, comments, all_keys)
     for field in msgspec.structs.fields(type(shape)):
@@ -54,7 +54,7 @@
 
 
 def tables_of(shapes: list[Any], comments: bool, all_keys: bool) -> AoT:
-    """Returns a list of tables, one for each shape."""
+    """Returns structs as a list of tables."""
     tables = AoT([])
     for shape in shapes:
         tables.append(table_of(shape, comments, all_keys))
@@ -62,7 +62,7 @@
 
 
 def add_keys(table: Any, shape: Any, comments: bool, all_keys: bool) -> None:
-    """Adds the shape's own keys to a table; without `all_keys` those that differ from their defaults."""
+    """Adds the plain keys of a struct to a table; without `all_keys`, only those not at their defaults."""
     hints = get_type_hints(type(shape), include_extras=True)
     for field in msgspec.structs.fields(type(shape)):
         value = getattr(shape, field.name)
@@ -80,16 +80,16 @@
 
 
 def contains_tables(value: Any) -> bool:
-    """Whether a value is a table, or a list with one."""
+    """Whether a value is a struct, or a list that contains one."""
     if isinstance(value, list):
         return any(is_shape(type(each)) for each in value)
     return is_shape(type(value))
 
 
 def server_tables(servers: list[Server]) -> str:
-    """Returns tables of servers and the mark of their end.
+    """Returns the [[server]] tables of servers, and [end].
 
-    They are written without tomlkit, whose document of thousands of them takes seconds.
+    Builds the text without a tomlkit document, which takes seconds for thousands of tables.
     """
     defaults = Server(name="", address="")
     keys = [field.name for field in msgspec.structs.fields(Server)]
@@ -105,7 +105,7 @@
 
 
 def servers_text(servers: list[Server]) -> str:
-    """Returns a file of servers, its end marked."""
+    """Returns the text of a file of servers, with [end] as its last line."""
     return (
         '# Servers; state = "draining" lets one finish what it has. Replace this file as a whole\n'
         "# (write another, then rename it); [end] stays its last line.\n\n" + server_tables(servers)
@@ -113,7 +113,7 @@
 
 
 def file_text(file: File, comments: bool = True, all_keys: bool = True) -> str:
-    """Returns the file as TOML, which reads back as the same."""
+    """Returns a file as TOML text; reading it gives an equal file."""
     document = tomlkit.document()
     if comments:
         document.add(tomlkit.comment(f"The sidecar of {file.application}: brambleplank check, explain, run."))
@@ -125,7 +125,7 @@
         if name == "service_type":
             document.add(name, tables_of(value, comments, all_keys))
         elif is_shape(type(value)):
-            has_no_mode = name == "listen" and value.socket is None  # the mode is that of a Unix socket
+            has_no_mode = name == "listen" and value.socket is None  # `mode` only applies to a Unix socket
             table = table_of(value, comments, all_keys and not has_no_mode)
             if len(table):
                 document.add(name, table)
@@ -133,7 +133,7 @@
 
 
 def replace_file(path: Path, text: str) -> None:
-    """Writes a file as a whole: written in place, whoever follows it could read half of it."""
+    """Replaces a file atomically, so that no reader sees a partly written one."""
     part = path.with_name(f".{path.name}.part")
     part.write_text(text, encoding="utf-8")
     part.replace(path)
@@ -147,7 +147,7 @@
 
 
 def to_platform(file: File, servers: list[Server], discovery: str) -> dict[str, Any]:
-    """Returns the platform's JSON of a sidecar: its list becomes `known`, followed at discovery's address."""
+    """Returns the platform's JSON of a sidecar, with its servers as `known` and a discovery address."""
     return {
         "name": file.application,
         "listen": file.listen.address or "",
@@ -160,7 +160,7 @@
 
 
 def platform_server(server: Server) -> dict[str, Any]:
-    """Returns a server as the platform's list has it."""
+    """Returns a server in the form of the platform's endpoint list."""
     states = {status: state for state, status in STATES.items()}
     return {
         "host": server.name,
@@ -175,15 +175,15 @@
 
 
 def normalized(address: str) -> str:
-    """Returns an address as the platform writes it, or the text itself if it is none."""
+    """Returns an address in the platform's notation, or the text unchanged if it isn't an address."""
     parsed = addresses.parse(address)
     return addresses.to_text(parsed) if parsed else address
 
 
 def from_platform(config: dict[str, Any]) -> File:
-    """Returns a sidecar's file from the platform's JSON; it is checked like any other afterwards.
+    """Converts the platform's JSON to a sidecar's file, without applying the rules of such files.
 
-    Raises KeyError, TypeError or ValueError where the JSON lacks what a sidecar needs.
+    Raises KeyError, TypeError or ValueError if the JSON lacks a value or has one of the wrong type.
     """
     settings = config["settings"]
     policy = settings["policy_limits"]
@@ -209,7 +209,7 @@
 
 
 def limits_table(limits: dict[str, Any], servers: int) -> dict[str, Any]:
-    """Returns the table `limits`; connections are as many as descriptors and memory bear."""
+    """Returns the table `limits`, with as many connections as descriptors and memory allow."""
     descriptors = limits.get("sockets", DEFAULT_DESCRIPTORS)
     memory = limits.get("memory_mb", DEFAULT_MEMORY) * MIB
     return {
@@ -263,7 +263,7 @@
 
 
 def server_table(host: dict[str, Any]) -> dict[str, Any]:
-    """Returns the table of a server in the platform's list."""
+    """Returns the [[server]] table for a server of the platform's list."""
     return {
         "name": host["host"],
         "address": host["dial"],
@@ -275,12 +275,12 @@
 
 
 def time_text(microseconds: float) -> str:
-    """Returns a time as files write it."""
+    """Returns a time in microseconds as the text of a duration."""
     return duration_text(microseconds / MICROSECONDS_PER_SECOND)
 
 
 def decode_document(document: dict[str, Any]) -> File:
-    """Returns the file of a document made here. Raises ValueError for what no file could hold."""
+    """Decodes tables built by this module into a file. Raises ValueError if a key has a fault."""
     reading = DocumentReader.from_tables(document)
     file = reading.decode(File, reading.tables)
     if reading.faults:
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -273,7 +273,7 @@
     ran = CliRunner().invoke(main, ["check", str(servers), "--against", str(old)])
     assert ran.exit_code == 0 and "server feed1: taken up by SIGHUP; another address" in ran.output
     ran = CliRunner().invoke(main, ["check", str(servers), "--against", str(tmp_path / "maps.toml")])
-    assert ran.exit_code == 2 and "nothing can be said against it" in ran.output
+    assert ran.exit_code == 2 and "is of another kind, so it can't be compared" in ran.output
 
 
 def test_against_an_old_file_it_says_what_waits_and_what_stands_elsewhere(tmp_path: Path) -> None:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -191,7 +191,9 @@
 def test_an_application_that_is_not_there_starts_nothing(start_sidecar: StartProgram) -> None:
     program = start_sidecar(fleet(StandInServer()), command=("./nowhere",))
     log = program.remaining_log()
-    assert program.process.returncode == 2 and log.startswith("./nowhere: no such command")
+    assert program.process.returncode == 2 and log.startswith(
+        "./nowhere: command of the application not found"
+    )
     assert log.count("\n") == 1
 
 
@@ -310,7 +312,7 @@
         program.file.end = server_file.End() if servers else None
         program.file.limits.descriptors = 300
         program.write_file()
-        assert "kept as it was: servers come from elsewhere" in program.reload()
+        assert "kept as it was: the kind of discovery differs" in program.reload()
         assert program.open_request().read_line() == "UP r1"
 
 
