--- a/brambleplank/cli/explain_command.py
+++ b/brambleplank/cli/explain_command.py
@@ -25,9 +25,7 @@
             click.echo(json.dumps(value.to_dict()))
         return
     columns = ("key", "value", "origin")
-    key_width, value_width, origin_width = (
-        max(len(getattr(each, name)) for each in found) for name in columns
-    )
+    key_width, value_width, origin_width = (max(len(getattr(row, name)) for row in found) for name in columns)
     for row in found:
         does = row.does + (f" [{row.rule}]" if row.rule else "")
         click.echo(
