--- a/brambleplank/fleet/reports.py
+++ b/brambleplank/fleet/reports.py
@@ -1,4 +1,4 @@
-"""Periodic reports: counts and observations of servers to the leader, and by it what they come to."""
+"""Periodic reports of counts and server observations to the leader, and the results that it publishes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Reports:
-    """What this process reports about requests and servers. `servers` gives the tags of the ready servers."""
+    """The periodic reports of this process. `servers` returns the tags of the ready servers."""
 
     def __init__(
         self,
@@ -37,38 +37,41 @@
         self.due_at = now + rng.uniform(0, HEARTBEAT_INTERVAL)
 
     def is_due(self, now: float) -> bool:
-        """Returns whether to report now; then the next report is due after about a heartbeat interval."""
+        """Returns whether a report is due; if so, schedules the next in about one heartbeat interval."""
         if now < self.due_at:
             return False
         self.due_at = now + HEARTBEAT_INTERVAL * self.rng.uniform(0.9, 1.1)
         return True
 
-    def report(self, now: float, leader: int | None, leads: bool) -> None:
-        """Sends what has changed. A candidate keeps it, as it may soon be the one that adds it up."""
+    def report(self, now: float, leader: int | None, leading: bool) -> None:
+        """Sends changes to the leader; as the leader, publishes to all members.
+
+        A candidate or leader records its changes locally, as a candidate may soon be the one to add them up.
+        """
         if self.election.candidacy.is_active:
-            self.keep(now)
+            self.record_own_report(now)
         elif leader is not None:
-            self.report_to(now, leader)
-        if leads:
+            self.send_report(now, leader)
+        if leading:
             self.publish(now)
 
-    def keep(self, now: float) -> None:
-        """Takes this process's own report."""
+    def record_own_report(self, now: float) -> None:
+        """Records this process's counts and observations in the way of a received report."""
         number = self.identity.number
         self.counts.receive_report(number, self.identity.incarnation, self.counts.next_report())
-        observations = self.server_observer.recent_opinions(now)
+        observations = self.server_observer.recent_observations(now)
         failing_total = len(observations.failing)
         self.server_observer.receive_observations(
             now, number, observations, observations.total, failing_total
         )
 
-    def report_to(self, now: float, leader: int) -> None:
+    def send_report(self, now: float, leader: int) -> None:
         """Sends counts and observations to the leader."""
         incarnation = self.identity.incarnation
         counts = self.counts.next_report()
         if counts:
             self.send(messages.CountReport(incarnation, counts), leader)
-        observations = self.server_observer.recent_opinions(now)
+        observations = self.server_observer.recent_observations(now)
         for part in self.server_observer.next_reports(now, messages.MAX_SERVERS):
             message = messages.ServerObservations(
                 incarnation,
--- a/brambleplank/sidecar/rules.py
+++ b/brambleplank/sidecar/rules.py
@@ -18,8 +18,7 @@
     check_end_is_last,
     report_missing_end,
 )
-from brambleplank.fleet.shapes import judge as judge_fleet
-from brambleplank.fleet.shapes import judge_members
+from brambleplank.fleet.shapes import check_budgets, check_members
 from brambleplank.sidecar.shapes import OUTSIDE_LOOPBACK_CONSENT, File
 from brambleplank.tables import DocumentReader, apply_rules, duration_text, size_text
 
@@ -101,8 +100,8 @@
     """The table `fleet`, if there is one, must be valid with the service types, customers and sidecars."""
     if file.fleet is not None:
         kinds = [kind.name for kind in file.service_type]
-        judge_fleet(reading, file.fleet, kinds, file.customers, ("fleet",))
-        judge_members(reading, file.fleet, file.sidecars, ("fleet",))
+        check_budgets(reading, file.fleet, kinds, file.customers, ("fleet",))
+        check_members(reading, file.fleet, file.sidecars, ("fleet",))
 
 
 def check_customer(reading: DocumentReader, file: File, n: int) -> None:
