--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -1,4 +1,4 @@
-"""Broken files, each refused with its key and line; and properties of what reads them."""
+"""Faulty files are refused with key and line; properties of the parsers of files, units and addresses."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
 """
 HERE = Machine(4096, 8 * 1024**3)
 
-# What is written in place of what, the key that is named, and what stands on the line that is named.
+# A text of the valid file, its replacement, the key of the expected fault, and a text on the reported line.
 BROKEN = [
     ("most = 3", "most = 5", "connects.most", "most = 5"),
     ("most = 3", "most = 0", "connects.most", "most = 0"),
@@ -205,15 +205,15 @@
     return reader.read(str(path), environment or {}, HERE).faults
 
 
-def test_the_good_file_is_good_and_says_what_it_means(tmp_path: Path) -> None:
+def test_valid_file_has_no_faults_and_is_explained(tmp_path: Path) -> None:
     assert faults_of(GOOD, tmp_path) == []
-    said = CliRunner().invoke(main, ["explain", str(tmp_path / "maps.toml")], env={}).output
-    assert re.search(r'drain.window +"1s" +line 20 .*\[drains kept]', said)
-    assert re.search(r"connects.withdraw +true +default ", said)
+    explained = CliRunner().invoke(main, ["explain", str(tmp_path / "maps.toml")], env={}).output
+    assert re.search(r'drain.window +"1s" +line 20 .*\[drains kept]', explained)
+    assert re.search(r"connects.withdraw +true +default ", explained)
 
 
 @pytest.mark.parametrize(("good", "bad", "key", "on_line"), BROKEN, ids=range(len(BROKEN)))
-def test_a_broken_file_is_refused_by_key_and_line(
+def test_faulty_file_is_refused_with_key_and_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, good: str, bad: str, key: str, on_line: str
 ) -> None:
     monkeypatch.setattr(reader, "machine_limits", lambda: HERE)
@@ -228,7 +228,7 @@
     assert ran.exit_code == 2 and not isinstance(ran.exception, Exception)
 
 
-def test_all_faults_are_named_at_once_and_one_unreadable_value_hides_no_other(tmp_path: Path) -> None:
+def test_all_faults_are_reported_at_once_despite_an_unreadable_value(tmp_path: Path) -> None:
     text = GOOD
     for good, bad, *_ in (BROKEN[0], BROKEN[3], BROKEN[8], BROKEN[14], BROKEN[20], BROKEN[29], BROKEN[47]):
         text = text.replace(good, bad, 1)
@@ -245,7 +245,7 @@
     }
 
 
-def test_the_environment_fills_what_the_file_leaves_out_and_hides_nothing(tmp_path: Path) -> None:
+def test_environment_sets_missing_keys_and_overrides_none(tmp_path: Path) -> None:
     (fault,) = faults_of(GOOD, tmp_path, {"BRAMBLEPLANK_LISTEN": "127.0.0.1:7401"})
     assert (fault.key, fault.line) == ("listen.address", 8) and "BRAMBLEPLANK_LISTEN" in fault.wrong
     shared = GOOD.replace('zone = "a"', 'zone = "a"\nsidecars = 3')
@@ -256,7 +256,7 @@
     assert [fault.key for fault in faults_of(without, tmp_path)] == ["listen"]
 
 
-def test_faults_can_be_had_as_one_object_and_a_list_of_servers_checked_alone(tmp_path: Path) -> None:
+def test_check_prints_json_and_checks_a_file_of_servers(tmp_path: Path) -> None:
     (tmp_path / "maps.toml").write_text(GOOD.replace("most = 3", "most = 5"))
     ran = CliRunner().invoke(main, ["check", "--json", str(tmp_path / "maps.toml")])
     found = json.loads(ran.output)
@@ -276,7 +276,7 @@
     assert ran.exit_code == 2 and "is of another kind, so it can't be compared" in ran.output
 
 
-def test_against_an_old_file_it_says_what_waits_and_what_stands_elsewhere(tmp_path: Path) -> None:
+def test_check_against_an_old_file_lists_reloaded_and_waiting_changes(tmp_path: Path) -> None:
     (tmp_path / "old.toml").write_text(GOOD)
     new = GOOD.replace("7501", "7503").replace('window = "1s"', 'window = "2s"').replace("512", "600")
     (tmp_path / "new.toml").write_text(new.replace('name = "feed2"', 'name = "feed3"'))
@@ -294,7 +294,7 @@
         assert line in ran.output
 
 
-def test_new_writes_what_check_accepts_and_nothing_else(tmp_path: Path) -> None:
+def test_new_writes_only_files_that_check_accepts(tmp_path: Path) -> None:
     service = "--service=orders:referenced:300ms:1800ms:zone:5s"
     options = ["new", "--application=maps", service, "--server=feed1=127.0.0.1:7501", "--connections=2000"]
     out = tmp_path / "maps.toml"
@@ -304,10 +304,10 @@
     assert CliRunner().invoke(main, [*options, "-o", str(out)]).exit_code == 0
     ran = CliRunner().invoke(main, ["check", str(out)])
     assert ran.exit_code == 0, ran.output
-    assert CliRunner().invoke(main, [*options, "-o", str(out)]).exit_code == 1  # it is there already
+    assert CliRunner().invoke(main, [*options, "-o", str(out)]).exit_code == 1  # the file exists already
 
 
-def test_new_asks_for_what_was_not_given(tmp_path: Path) -> None:
+def test_new_prompts_for_missing_options(tmp_path: Path) -> None:
     out = tmp_path / "maps.toml"
     answers = "maps\n127.0.0.1:7411\norders\nreferenced\n200ms\n1s\nzone\n4s\nfeed1=127.0.0.1:7501\n"
     ran = CliRunner().invoke(main, ["new", "--ask", "-o", str(out)], input=answers)
@@ -316,7 +316,7 @@
     assert file and file.listen.address == "127.0.0.1:7411" and file.service_type[0].window == 4.0
 
 
-def test_converted_to_the_platforms_json_and_back_it_is_the_same(tmp_path: Path) -> None:
+def test_conversion_to_platform_json_and_back_keeps_the_settings(tmp_path: Path) -> None:
     path, other, back = (tmp_path / name for name in ("maps.toml", "config.json", "back.toml"))
     path.write_text(GOOD)
     for source, out in ((path, other), (other, back)):
@@ -333,7 +333,7 @@
         assert ran.exit_code == 2 and isinstance(ran.exception, SystemExit)
 
 
-def test_the_file_of_rules_is_read_and_linted_with_the_one_that_names_it(tmp_path: Path) -> None:
+def test_route_table_is_read_and_linted_with_the_sidecars_file(tmp_path: Path) -> None:
     fleet = '[fleet]\nlisten = "127.0.0.1:7500"\nmembers = ["127.0.0.1:7500"]\nroutes = "r.toml"\n\n[log]'
     path, rules = tmp_path / "maps.toml", tmp_path / "r.toml"
     path.write_text(GOOD.replace("[log]", fleet))
@@ -354,7 +354,7 @@
         assert all(named in fault.wrong for fault in faults), faults
 
 
-def test_the_schema_and_the_page_have_every_key() -> None:
+def test_schema_and_page_list_every_key() -> None:
     docs = Path(__file__).parents[1] / "docs"
     assert (docs / "sidecar.schema.json").read_text() == schema()
     page = (docs / "sidecar.md").read_text()
@@ -385,7 +385,7 @@
 
 @REPEATABLE
 @given(st.integers(0, 10**12), st.integers(0, 10**15))
-def test_times_and_sizes_read_back_as_written(micro: int, count: int) -> None:
+def test_durations_and_sizes_round_trip(micro: int, count: int) -> None:
     assert parse_seconds(duration_text(micro / 1e6)) == pytest.approx(micro / 1e6, rel=1e-12)
     assert parse_size(size_text(count)) == count
 
@@ -403,7 +403,7 @@
 
 @REPEATABLE
 @given(st.data())
-def test_a_cut_list_is_never_taken_for_a_whole_one(data: st.DataObject) -> None:
+def test_truncated_list_of_servers_is_refused(data: st.DataObject) -> None:
     names = data.draw(st.lists(KEY, unique=True, min_size=1, max_size=6))
     text = writer.servers_text(
         [server_file.Server(name=name, address=f"127.0.0.1:{7000 + n}") for n, name in enumerate(names)]
@@ -445,7 +445,7 @@
 
 @REPEATABLE
 @given(st.integers(0, 2**32 - 1), st.integers(1, 65535))
-def test_an_address_is_itself_however_it_is_written(number: int, port: int) -> None:
+def test_notations_of_an_address_are_equal(number: int, port: int) -> None:
     host = ".".join(str(number >> shift & 255) for shift in (24, 16, 8, 0))
     plain, mapped = addresses.parse(f"{host}:{port}"), addresses.parse(f"[::ffff:{host}]:{port}")
     assert plain == mapped and plain and addresses.parse(addresses.to_text(plain)) == plain
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Every error that the program raises by itself says what is wrong, where, and what an operator can do."""
+"""Every exception class of the program carries a problem, a location and advice for the operator."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 @pytest.mark.parametrize("kind", all_errors(), ids=lambda kind: f"{kind.__module__}.{kind.__name__}")
-def test_an_error_is_of_the_tree_and_says_all_three(kind: type[Exception]) -> None:
+def test_error_derives_from_the_base_and_has_its_own_advice(kind: type[Exception]) -> None:
     assert issubclass(kind, BrambleplankError)
     assert kind is BrambleplankError or kind.ADVICE != BrambleplankError.ADVICE
-    error = kind("key.at: it is wrong")
+    error = kind("key.path: invalid value")
     assert (
         isinstance(error, BrambleplankError)
-        and "it is wrong" in str(error)
+        and "invalid value" in str(error)
         and error.advice in error.with_advice()
     )
     assert len(error.with_advice().splitlines()) == 1
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -45,15 +45,15 @@
     return endpoint_list(1, True, **{f"s{i}": server.address for i, server in enumerate(servers)})
 
 
-def until(true: Callable[[], object]) -> None:
+def until(condition: Callable[[], object]) -> None:
     end = time.monotonic() + TEST_TIMEOUT
-    while not true():
+    while not condition():
         assert time.monotonic() < end
         time.sleep(0.01)
 
 
 @pytest.mark.parametrize("part", [0.0, 0.5, 0.9, "missing", "bytes"])
-def test_half_a_file_under_load_costs_no_flow_and_the_old_list_stays(
+def test_truncated_server_file_keeps_the_old_list_without_lost_flows(
     start_sidecar: StartProgram, part: Any
 ) -> None:
     servers = [StandInServer() for _ in range(3)]
@@ -66,18 +66,18 @@
         program.servers_path.write_bytes(whole.encode().replace(b"s1", b"\xff1"))
     else:
         program.servers_path.write_text(whole[: int(len(whole) * part)])
-    said = False
-    for key in range(150):  # fewer than the log has lines a second
+    has_kept_list = False
+    for key in range(150):  # below the rate limit of the log, in lines per second
         caller = program.open_request(f"{key:x}")
         assert caller.read_line() == "UP r1"
         caller.close()
         if key == 75:
-            said = "list: kept as it was: " in program.next_log_line("list: ")
-    assert said and all(server.opening_count > 10 for server in servers)
+            has_kept_list = "list: kept as it was: " in program.next_log_line("list: ")
+    assert has_kept_list and all(server.opening_count > 10 for server in servers)
     program.send_endpoints(s0=servers[0].address)
     line = program.next_log_line("list: ")
     if part == "missing" and "kept as it was: " in line:
-        # A check that had found the file and could not open it names the same fault in other words.
+        # A poll that finds the file and then cannot open it reports the same fault with another text.
         line = program.next_log_line("list: ")
     assert "good again" in line
     assert "1 servers, 0 draining" in program.next_log_line("list: ")
@@ -86,7 +86,7 @@
     assert [server.opening_count for server in servers[1:]] == counts[1:]
 
 
-def test_a_server_that_moves_keeps_who_stands_and_gets_new_flows_at_its_new_address(
+def test_server_with_a_new_address_keeps_sessions_and_gets_new_flows_there(
     start_sidecar: StartProgram,
 ) -> None:
     old, new = StandInServer("UP old"), StandInServer("UP new")
@@ -118,8 +118,8 @@
         assert not Path(second.socket_path).exists()
 
 
-def beside(tmp_path: Path, program: Sidecar) -> subprocess.CompletedProcess[str]:
-    """A second sidecar by the same file."""
+def run_second_sidecar(tmp_path: Path, program: Sidecar) -> subprocess.CompletedProcess[str]:
+    """Runs a second sidecar with the same file."""
     return subprocess.run(
         [sys.executable, "-m", "brambleplank.cli", "run", str(program.config_path)],
         capture_output=True,
@@ -129,19 +129,17 @@
     )
 
 
-def test_a_place_that_a_living_sidecar_holds_is_left_to_it(
-    start_sidecar: StartProgram, tmp_path: Path
-) -> None:
+def test_second_sidecar_on_the_same_listener_is_refused(start_sidecar: StartProgram, tmp_path: Path) -> None:
     program = start_sidecar(fleet(StandInServer()))
     client = program.open_request()
     assert client.read_line() == "UP r1"
-    second = beside(tmp_path, program)
+    second = run_second_sidecar(tmp_path, program)
     assert second.returncode == 2 and second.stderr.count("\n") == 1 and "listen" in second.stderr
     assert program.open_request().read_line() == "UP r1"
 
 
 @pytest.mark.parametrize("what", ["file", "listener"])
-def test_what_is_at_the_sockets_path_and_not_ours_is_left_alone(tmp_path: Path, what: str) -> None:
+def test_foreign_file_or_listener_at_the_socket_path_is_kept(tmp_path: Path, what: str) -> None:
     path = tmp_path / "b.sock"
     other = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     if what == "file":
@@ -150,8 +148,8 @@
         other.bind(str(path))
         other.listen()
     program = UnixSidecar(tmp_path, fleet(StandInServer()))
-    said = program.remaining_log()
-    assert program.process.returncode == 2 and "listen.socket" in said and said.count("\n") == 1
+    log = program.remaining_log()
+    assert program.process.returncode == 2 and "listen.socket" in log and log.count("\n") == 1
     assert path.exists() and (what == "listener" or path.read_text() == "precious")
     other.close()
 
@@ -159,28 +157,28 @@
 APPLICATION = """trap 'echo told >> {0}; exit 7' TERM; echo started >> {0}; while :; do sleep 0.02; done"""
 
 
-def test_the_application_begins_once_flows_are_taken_and_goes_once_all_are_moved(
+def test_application_starts_when_ready_and_stops_after_draining(
     start_sidecar: StartProgram, tmp_path: Path
 ) -> None:
-    said = tmp_path / "said"
-    program = start_sidecar(endpoint_list(1, True), command=("sh", "-c", APPLICATION.format(said)))
+    events = tmp_path / "events"
+    program = start_sidecar(endpoint_list(1, True), command=("sh", "-c", APPLICATION.format(events)))
     front = program.connect("PING")
-    assert front.read_line() == "NO" and not said.exists()
+    assert front.read_line() == "NO" and not events.exists()
     server = StandInServer()
     program.send_endpoints(s0=server.address)
     program.next_log_line("ready: ")
-    until(said.exists)
+    until(events.exists)
     client = program.open_request()
     assert client.read_line() == "UP r1"
     program.process.send_signal(signal.SIGTERM)
-    assert client.read_line() == "MOVE" and said.read_text() == "started\n"
+    assert client.read_line() == "MOVE" and events.read_text() == "started\n"
     log = program.remaining_log()
-    assert said.read_text() == "started\ntold\n" and program.process.returncode == 7
+    assert events.read_text() == "started\ntold\n" and program.process.returncode == 7
     order = ("shutdown: drained", "shutdown: application asked", "application ended with 7")
     assert sorted(order, key=log.index) == list(order)
 
 
-def test_an_application_that_ends_first_ends_its_sidecar_with_its_code(start_sidecar: StartProgram) -> None:
+def test_sidecar_exits_with_the_code_of_its_application(start_sidecar: StartProgram) -> None:
     program = start_sidecar(fleet(StandInServer()), command=("sh", "-c", "exit 3"))
     log = program.remaining_log()
     assert (
@@ -188,7 +186,7 @@
     )
 
 
-def test_an_application_that_is_not_there_starts_nothing(start_sidecar: StartProgram) -> None:
+def test_missing_application_command_fails_the_start(start_sidecar: StartProgram) -> None:
     program = start_sidecar(fleet(StandInServer()), command=("./nowhere",))
     log = program.remaining_log()
     assert program.process.returncode == 2 and log.startswith(
@@ -197,7 +195,7 @@
     assert log.count("\n") == 1
 
 
-def test_an_application_that_does_not_go_when_told_is_killed(start_sidecar: StartProgram) -> None:
+def test_application_that_ignores_sigterm_is_killed(start_sidecar: StartProgram) -> None:
     patch = override("brambleplank.sidecar.run:APPLICATION_STOP_TIME", 0.2)
     deaf = "import signal, time; signal.signal(signal.SIGTERM, signal.SIG_IGN); time.sleep(50)"
     program = start_sidecar(fleet(StandInServer()), command=(sys.executable, "-c", deaf), patch=patch)
@@ -207,7 +205,7 @@
     assert "application ended with 137" in program.stop()
 
 
-def test_an_application_that_goes_by_itself_leaves_nothing_open_and_may_come_back(
+def test_closed_clients_leave_no_open_sessions_and_can_reconnect(
     start_sidecar: StartProgram,
 ) -> None:
     server = StandInServer()
@@ -221,7 +219,7 @@
     assert program.open_request().read_line() == "UP r1"
 
 
-def test_it_says_when_it_takes_flows_and_when_no_longer(tmp_path: Path) -> None:
+def test_readiness_and_stopping_are_notified(tmp_path: Path) -> None:
     ears = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
     ears.bind(str(tmp_path / "notify"))
     ears.settimeout(TEST_TIMEOUT)
@@ -253,7 +251,7 @@
         super().write_file()
 
 
-def test_near_its_memory_limit_flows_are_rejected_at_once_and_what_stands_stays(
+def test_flows_near_the_memory_limit_are_rejected_and_sessions_stay(
     start_sidecar: StartProgram,
 ) -> None:
     mark = Path(sys.executable + ".full")
@@ -277,7 +275,7 @@
     until(lambda: program.open_request().read_line() == "UP r1")
 
 
-def test_sighup_takes_up_what_can_be_and_a_torn_file_costs_nothing(start_sidecar: StartProgram) -> None:
+def test_sighup_applies_live_keys_and_refuses_a_truncated_file(start_sidecar: StartProgram) -> None:
     server = StandInServer()
     program = start_sidecar(fleet(server))
     client = program.open_request()
@@ -286,8 +284,8 @@
     program.file.limits.descriptors = 300
     program.file.drain.window = Seconds(2.0)
     program.write_file()
-    said = program.reload()
-    assert "taken up: limits.descriptors; wait for a restart: drain.window" in said
+    log = program.reload()
+    assert "taken up: limits.descriptors; wait for a restart: drain.window" in log
     other = StandInServer("UP r2")
     again = program.servers_path.with_name("other.toml")
     again.write_text(writer.servers_text([server_file.Server(name="s9", address=other.address)]))
@@ -299,7 +297,7 @@
     assert server.next_opening()[1].read_line() == "M 1"
 
 
-def test_a_reload_that_takes_servers_from_elsewhere_waits_for_a_restart_as_a_whole(
+def test_reload_with_another_kind_of_discovery_applies_nothing(
     start_sidecar: StartProgram,
 ) -> None:
     server = StandInServer()
@@ -316,7 +314,7 @@
         assert program.open_request().read_line() == "UP r1"
 
 
-def test_sidecars_before_the_same_servers_have_turns_on_a_cold_one(tmp_path: Path) -> None:
+def test_number_and_count_of_sidecars_are_decoded(tmp_path: Path) -> None:
     file = File(
         "maps",
         Listen(),
@@ -324,11 +322,11 @@
         sidecars=3,
         number=2,
     )
-    decoded = accepted(tmp_path, file).settings
+    decoded = write_and_read(tmp_path, file).settings
     assert decoded and (decoded.proxies, decoded.proxy_number) == (3, 2)
 
 
-def test_a_file_with_faults_starts_nothing_and_names_them_all(tmp_path: Path) -> None:
+def test_start_with_a_faulty_file_reports_every_fault(tmp_path: Path) -> None:
     text = 'application = "maps"\n[drain]\nwindow = "3.001s"\n[connects]\nmost = 5\n'
     (tmp_path / "maps.toml").write_text(text)
     ran = subprocess.run(
@@ -343,7 +341,7 @@
         assert key in ran.stderr
 
 
-def test_two_thousand_servers_start_and_a_change_of_one_is_taken_up(start_sidecar: StartProgram) -> None:
+def test_change_of_one_of_two_thousand_servers_is_applied(start_sidecar: StartProgram) -> None:
     server = StandInServer()
     many = {f"x{n}": f"127.0.{n // 250}.{n % 250 + 2}:9" for n in range(1, 2000)}
     program = start_sidecar(
@@ -359,7 +357,7 @@
     assert program.open_request().read_line() == "UP r1"
 
 
-def test_the_first_thing_a_newcomer_runs_keeps_every_rule(tmp_path: Path) -> None:
+def test_try_command_keeps_every_rule(tmp_path: Path) -> None:
     ran = subprocess.run(
         [sys.executable, "-m", "brambleplank.cli", "try", "--seconds", "4", "--keep", str(tmp_path)],
         capture_output=True,
@@ -371,7 +369,7 @@
     assert "Rules: all kept" in ran.stdout and "fault" not in (tmp_path / "sidecar.log").read_text()
 
 
-# Whatever `check` accepts starts, serves each service type, keeps its drain window, and empties.
+# Every file that `check` accepts starts, serves each service type, respects its drain window, and shuts down.
 
 POOLS: dict[str, list[Any]] = {
     "effect": ["repeatable", "referenced", "once-only"],
@@ -395,8 +393,8 @@
 }
 
 
-def drawn(draw: Callable[[str], Any]) -> File:
-    """A file whose values come from the pools; most hold one that is refused, or two that do not agree."""
+def draw_file(draw: Callable[[str], Any]) -> File:
+    """Draws a file with values from the pools; most pools hold an invalid value or a conflicting pair."""
     types = [
         ServiceType(name, draw("effect"), draw("setup"), draw("timeout"), None, draw("group"), draw("window"))
         for name in ("views", "orders", "warnings")[: draw("types")]
@@ -422,24 +420,26 @@
     suppress_health_check=[HealthCheck.function_scoped_fixture],
 )
 @given(data=st.data())
-def test_what_is_accepted_makes_sound_terms(tmp_path: Path, data: st.DataObject) -> None:
-    file = drawn(lambda pool: data.draw(st.sampled_from(POOLS[pool])))
-    told_of = accepted(tmp_path, file)
-    if told_of.settings is None:
-        assert told_of.faults
+def test_accepted_file_gives_consistent_settings(tmp_path: Path, data: st.DataObject) -> None:
+    file = draw_file(lambda pool: data.draw(st.sampled_from(POOLS[pool])))
+    loaded = write_and_read(tmp_path, file)
+    if loaded.settings is None:
+        assert loaded.faults
         return
-    decoded = told_of.settings
+    decoded = loaded.settings
     assert 0 < decoded.drain_grace <= 3
     for kind in decoded.traffic_classes.values():
         assert kind.latency_objective <= kind.deadline
         assert 1 <= kind.max_attempts <= 4
         assert kind.max_attempts * decoded.connect_timeout <= kind.deadline * 1.000001
         assert kind.idempotency.value == "referenced" or kind.deduplication_scope == "all"
-    assert reader.read(told_of.path, {}).settings == decoded
+    assert reader.read(loaded.path, {}).settings == decoded
 
 
-def accepted(folder: Path, file: File, servers: list[server_file.Server] | None = None) -> reader.LoadedFile:
-    """The file as written, read back."""
+def write_and_read(
+    folder: Path, file: File, servers: list[server_file.Server] | None = None
+) -> reader.LoadedFile:
+    """Writes a file and its servers, and reads it back."""
     file.listen = Listen(socket=str(folder / "b.sock"))
     file.servers = Servers("maps.servers.toml")
     listed = servers or [server_file.Server(name="s0", address="127.0.0.1:9")]
@@ -449,16 +449,16 @@
 
 
 @pytest.mark.parametrize("number", range(6))
-def test_what_is_accepted_starts_serves_drains_and_empties(tmp_path: Path, number: int) -> None:
+def test_accepted_file_starts_serves_drains_and_shuts_down(tmp_path: Path, number: int) -> None:
     rng = random.Random(number)
-    file = drawn(lambda pool: rng.choice(POOLS[pool]))
-    while accepted(tmp_path, file).settings is None:
-        file = drawn(lambda pool: rng.choice(POOLS[pool]))
+    file = draw_file(lambda pool: rng.choice(POOLS[pool]))
+    while write_and_read(tmp_path, file).settings is None:
+        file = draw_file(lambda pool: rng.choice(POOLS[pool]))
     one, other = StandInServer("UP one"), StandInServer("UP other")
     both = [
         server_file.Server(name=name, address=each.address) for name, each in (("s0", one), ("s1", other))
     ]
-    assert accepted(tmp_path, file, both).settings
+    assert write_and_read(tmp_path, file, both).settings
     process = subprocess.Popen(
         [sys.executable, "-m", "brambleplank.cli", "run", str(tmp_path / "maps.toml")],
         stderr=subprocess.PIPE,
@@ -481,7 +481,7 @@
 
         for kind in file.service_type:
             assert opening(kind).read_line().startswith("UP ")
-        accepted(
+        write_and_read(
             tmp_path, file, [both[0], server_file.Server(name="s1", address=other.address, state="draining")]
         )
         until_over = time.monotonic() + file.drain.window + 0.05
@@ -492,8 +492,8 @@
         assert {caller.read_line() for caller in last} == {"UP one"} and other.opening_count == count
         process.send_signal(signal.SIGTERM)
         assert {caller.read_line() for caller in last} == {"MOVE"}
-        said = process.communicate(timeout=TEST_TIMEOUT)[1]
-        assert process.returncode == 0 and "fault" not in said
+        log = process.communicate(timeout=TEST_TIMEOUT)[1]
+        assert process.returncode == 0 and "fault" not in log
     finally:
         process.kill()
         process.communicate()
