--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -150,7 +150,7 @@
         limits=Limits(IDLE_CONNECTIONS, descriptors_for(IDLE_CONNECTIONS, 0), Size(512 * 1024**2)),
         servers=Servers("b.servers.toml"),
     )
-    (folder / "b.toml").write_text(writer.text(file))
+    (folder / "b.toml").write_text(writer.file_text(file))
     started_at = time.perf_counter()
     process = subprocess.Popen(
         [sys.executable, "-m", "brambleplank.cli", "run", str(folder / "b.toml")],
@@ -182,7 +182,7 @@
         limits=Limits(memory=Size(256 * 1024**2)),
         servers=Servers("many.servers.toml"),
     )
-    (folder / "many.toml").write_text(writer.text(file))
+    (folder / "many.toml").write_text(writer.file_text(file))
     durations = []
     for _ in range(7):
         started_at = time.perf_counter()
--- a/brambleplank/discovery/consul/source.py
+++ b/brambleplank/discovery/consul/source.py
@@ -217,7 +217,7 @@
 
     def address(self) -> str:
         """Returns the address of the agent that is queried."""
-        return addresses.text(self.source.settings.agents[self.agent_number])
+        return addresses.to_text(self.source.settings.agents[self.agent_number])
 
     def stop(self) -> None:
         """Cancels a pending query."""
--- a/brambleplank/platform/configuration.py
+++ b/brambleplank/platform/configuration.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from brambleplank.checks import InvalidConfigurationError, address, check_settings
+from brambleplank.checks import InvalidConfigurationError, check_settings, parse_address
 from brambleplank.discovery.platform.endpoint_list import MalformedListError, decode_list
 from brambleplank.model import Address, Settings
 from brambleplank.platform.reload import FIXED_SETTINGS, require_same_keys
@@ -81,15 +81,15 @@
     raw_settings = settings_to_apply(file, previous)
     settings = decode_checked_settings(raw_settings)
     peer_addresses = decode_peer_addresses(file)
-    listen = address(os.environ.get("ROUTER_LISTEN") or file.get("listen"), "listen")
-    discovery = address(discovery_address(file, previous), "discovery")
+    listen = parse_address(os.environ.get("ROUTER_LISTEN") or file.get("listen"), "listen")
+    discovery = parse_address(discovery_address(file, previous), "discovery")
     peers = None
     if settings.may_message_peers and file.get("peer_listen") is not None:
         # `peers` lists the proxies of this kind by slot; those of the other kind may have the lower numbers.
         first_number = settings.proxy_number - raw_settings["slot_no"]
         peers = PeerConfiguration(
-            listen=address(file["peer_listen"], "peer_listen"),
-            broadcast=address(file.get("peers_all"), "peers_all"),
+            listen=parse_address(file["peer_listen"], "peer_listen"),
+            broadcast=parse_address(file.get("peers_all"), "peers_all"),
             numbers={peer: first_number + index for index, peer in enumerate(peer_addresses)},
         )
     operators = os.environ.get("ROUTER_MGMT") or file.get("mgmt")
@@ -100,7 +100,7 @@
         seed=seed,
         descriptor_limit=descriptor_limit,
         peers=peers,
-        operator_address=address(operators, "mgmt") if operators is not None else None,
+        operator_address=parse_address(operators, "mgmt") if operators is not None else None,
         initial_list=initial_list,
         settings=settings,
         file=file,
@@ -178,7 +178,7 @@
     peers = file.get("peers", [])
     if not isinstance(peers, list):
         raise InvalidConfigurationError(f"peers: need a list of addresses, not {peers!r:.60}")
-    return [address(peer, "peers") for peer in peers]
+    return [parse_address(peer, "peers") for peer in peers]
 
 
 def discovery_address(file: dict[str, Any], previous: PlatformConfiguration | None) -> Any:
@@ -218,7 +218,7 @@
         raise InvalidConfigurationError(
             f"fleet: needs the Python module {error.name}; install requirements-sidecar.txt"
         ) from None
-    reader = DocumentReader.of({"fleet": file["fleet"]})
+    reader = DocumentReader.from_tables({"fleet": file["fleet"]})
     table = reader.decode(shapes.Fleet, file["fleet"], ("fleet",))
     if not reader.faults:
         if table.listen or table.members:
--- a/brambleplank/platform/handoff_state.py
+++ b/brambleplank/platform/handoff_state.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from brambleplank.checks import InvalidConfigurationError, address, need
+from brambleplank.checks import InvalidConfigurationError, check_value, parse_address
 from brambleplank.decisions.history import BalancerHistory
 from brambleplank.decisions.rotation import Rotation, unknown_endpoint
 from brambleplank.discovery.platform.discovery import Discovery
@@ -64,7 +64,7 @@
         """Decodes the stored form. Raises InvalidConfigurationError, which names the key."""
         if len(decode_array(stored, key)) != 3:
             raise InvalidConfigurationError(f"{key}: need a ring position, a server id and a time")
-        need(stored[1], key, str)
+        check_value(stored[1], key, str)
         return cls(decode_integer(stored[0], key), stored[1], decode_number(stored[2], key))
 
 
@@ -102,7 +102,7 @@
             decode_list(stored.get("list"))
         except MalformedListError as error:
             raise InvalidConfigurationError(f"estate.list: {error}") from None
-        return cls(stored["list"], address(stored.get("discovery"), "estate.discovery"))
+        return cls(stored["list"], parse_address(stored.get("discovery"), "estate.discovery"))
 
 
 @dataclass(frozen=True)
@@ -168,7 +168,7 @@
     def decode(cls, stored: dict[str, Any]) -> LifecycleState:
         """Decodes the stored form. Raises InvalidConfigurationError, which names the key."""
         for key in ("draining", "serving"):
-            need(stored.get(key), f"estate.{key}", bool)
+            check_value(stored.get(key), f"estate.{key}", bool)
         return cls(
             draining=stored["draining"],
             serving=stored["serving"],
@@ -288,7 +288,7 @@
 
         Raises InvalidConfigurationError, which names the key; no part of the state is used then.
         """
-        need(stored, "estate", dict)
+        check_value(stored, "estate", dict)
         starts = decode_mapping(stored.get("starts", {}), "estate.starts", decode_number_pair)
         servers = decode_mapping(stored.get("servers"), "estate.servers", decode_object)
         return cls(
--- a/brambleplank/platform/stored_values.py
+++ b/brambleplank/platform/stored_values.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from brambleplank.checks import InvalidConfigurationError, need
+from brambleplank.checks import InvalidConfigurationError, check_value
 from brambleplank.model import Address
 
 Value = TypeVar("Value")
@@ -13,32 +13,32 @@
 
 def decode_number(value: Any, key: str, minimum: float = 0) -> float:
     """Returns a number of at least `minimum`."""
-    need(value, key, float, minimum)
+    check_value(value, key, float, minimum)
     return float(value)
 
 
 def decode_integer(value: Any, key: str) -> int:
     """Returns an integer of -1 or more."""
-    need(value, key, int, -1)
+    check_value(value, key, int, -1)
     return int(value)
 
 
 def decode_object(value: Any, key: str) -> dict[str, Any]:
     """Returns a JSON object."""
-    need(value, key, dict)
+    check_value(value, key, dict)
     return dict(value)
 
 
 def decode_array(value: Any, key: str) -> list[Any]:
     """Returns a JSON array."""
-    need(value, key, list)
+    check_value(value, key, list)
     return list(value)
 
 
 def decode_strings(value: Any, key: str) -> list[str]:
     """Returns a JSON array of strings."""
     for text in decode_array(value, key):
-        need(text, key, str)
+        check_value(text, key, str)
     return list(value)
 
 
@@ -55,6 +55,6 @@
 
 
 def address_text(address: Address) -> str:
-    """Returns an address as `host:port`, which `checks.address` decodes."""
+    """Returns an address as `host:port`, which `checks.parse_address` decodes."""
     host, port = address
     return f"{host}:{port}"
--- a/brambleplank/sidecar/reader.py
+++ b/brambleplank/sidecar/reader.py
@@ -1,4 +1,4 @@
-"""A sidecar's file, read and judged as a whole: from its text, the environment and the machine."""
+"""Reads and checks a sidecar's file, with the environment variables and the limits of the machine."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from brambleplank.fleet.shapes import REQUEST_BUDGETS
 from brambleplank.model import Settings
 from brambleplank.settings import decode_settings
-from brambleplank.sidecar.platform_settings import EFFECT_WORDS, platform_settings
-from brambleplank.sidecar.rules import Machine, judge
+from brambleplank.sidecar.platform_settings import PLATFORM_EFFECTS, platform_settings
+from brambleplank.sidecar.rules import Machine, check_file
 from brambleplank.sidecar.shapes import File
-from brambleplank.tables import DocumentReader, Fault, judged
+from brambleplank.tables import DocumentReader, Fault, apply_rules
 
-# Variables that give a value which the file leaves out. None may hide one that the file has.
-VARIABLES: dict[str, tuple[str, ...]] = {
+# Variables that set a key which the file leaves out; for a key in the file they are a fault.
+ENVIRONMENT_KEYS: dict[str, tuple[str, ...]] = {
     "BRAMBLEPLANK_LISTEN": ("listen", "address"),
     "BRAMBLEPLANK_SOCKET": ("listen", "socket"),
     "BRAMBLEPLANK_SERVERS": ("servers", "file"),
@@ -30,7 +30,7 @@
 
 @dataclass
 class LoadedFile:
-    """A sidecar's file as it was read: what it says, or every fault that keeps it from being used."""
+    """A sidecar's file after reading: its decoded content, or every fault that keeps it from being used."""
 
     path: str
     file: File | None = None
@@ -38,70 +38,72 @@
     settings: Settings | None = None
     faults: list[Fault] = field(default_factory=list)
     reading: DocumentReader | None = None
-    from_environment: dict[str, str] = field(default_factory=dict)  # the variable that gave a key, by key
+    from_environment: dict[str, str] = field(default_factory=dict)  # environment variable by the key it set
 
     def fault_lines(self) -> list[str]:
-        """Returns every fault as people read it."""
+        """Returns each fault as a line of text that begins with the path of the file."""
         return [f"{self.path}: {fault}" for fault in self.faults]
 
     def servers_path(self) -> str | None:
-        """Returns the file of servers, beside the sidecar's own unless its path is whole; None for none."""
+        """Returns the path of the file of servers, or None. A relative path starts at the sidecar's file."""
         if self.file is None or self.file.servers is None:
             return None
         return str(Path(self.path).parent / self.file.servers.file)
 
 
-def machine() -> Machine:
-    """Returns what this machine allows this process."""
+def machine_limits() -> Machine:
+    """Returns the limits of this machine for this process."""
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     return Machine(hard if hard != resource.RLIM_INFINITY else 0, max(0, memory))
 
 
-def text_of(path: str) -> str | Fault:
-    """Returns a file's text, or what keeps it from being read."""
+def read_text(path: str) -> str | Fault:
+    """Returns the text of a file, or the fault that kept it from being read."""
     try:
         return Path(path).read_bytes().decode()
     except OSError as error:
-        return Fault(1, "file", f"cannot be read: {error.strerror}", "name a file that is there")
+        return Fault(
+            1, "file", f"cannot be read: {error.strerror}", "name a file that exists and is readable"
+        )
     except UnicodeDecodeError as error:
         return Fault(1, "file", f"not UTF-8 at byte {error.start}", "save it as UTF-8")
 
 
 def read(path: str, environment: dict[str, str] | None = None, limits: Machine | None = None) -> LoadedFile:
-    """Returns the file at a path; every fault is in the result, none is raised."""
+    """Reads and checks the file at a path; faults are returned in the result, not raised."""
     loaded = LoadedFile(path)
-    text = text_of(path)
+    text = read_text(path)
     if isinstance(text, Fault):
         loaded.faults.append(text)
         return loaded
     variables = dict(os.environ) if environment is None else environment
-    judge_text(loaded, text, variables, limits or machine())
+    check_text(loaded, text, variables, limits or machine_limits())
     return loaded
 
 
-def judge_text(loaded: LoadedFile, text: str, environment: dict[str, str], limits: Machine) -> None:
-    """Adds to the file what its text says, or every fault of it."""
+def check_text(loaded: LoadedFile, text: str, environment: dict[str, str], limits: Machine) -> None:
+    """Fills `loaded` with the decoded content of the text, or with all its faults."""
     reading = DocumentReader(text)
     loaded.reading = reading
     if not reading.is_unreadable:
         apply_environment(loaded, reading, environment)
         file = reading.decode(File, reading.tables)
         loaded.file = file
-        judged([lambda: read_servers(loaded, file, reading)])
-        judge(reading, file, loaded.servers, limits)
-        judged([lambda: check_routes(loaded, file, reading)])
+        apply_rules([lambda: read_servers(loaded, file, reading)])
+        check_file(reading, file, loaded.servers, limits)
+        apply_rules([lambda: check_routes(loaded, file, reading)])
         if not reading.faults:
-            loaded.settings = decoded_settings(reading, file)
+            loaded.settings = decode_sidecar_settings(reading, file)
     loaded.faults = sorted(set(reading.faults))
 
 
 def apply_environment(loaded: LoadedFile, reading: DocumentReader, environment: dict[str, str]) -> None:
-    """Takes up what the environment gives; what would hide a value of the file is a fault.
+    """Adds the values of environment variables; a variable for a key that the file has is a fault.
 
-    Otherwise the file would say one thing and the sidecar do another.
+    An override would make the sidecar run with a value other than the one in its file.
     """
-    for variable, keys in VARIABLES.items():
+    for variable, keys in ENVIRONMENT_KEYS.items():
         if not environment.get(variable):
             continue
         table: Any = reading.tables
@@ -118,12 +120,12 @@
 
 
 def read_servers(loaded: LoadedFile, file: File, reading: DocumentReader) -> None:
-    """The file of servers that the sidecar's names; its faults are named by its own lines."""
+    """Reads the file of servers that the sidecar's file names; its faults carry the lines of that file."""
     loaded.servers = file.server or []
     path = loaded.servers_path()
     if path is None:
         return
-    text = text_of(path)
+    text = read_text(path)
     if isinstance(text, Fault):
         reading.add_fault(("servers", "file"), f"{path} {text.wrong}", text.instead)
         return
@@ -134,9 +136,9 @@
 
 
 def check_routes(loaded: LoadedFile, file: File, reading: DocumentReader) -> None:
-    """The file of rules that the fleet's table names, linted by what this file says.
+    """Reads the route table that `fleet.routes` names, and lints it against the sidecar's file.
 
-    What only this needs is imported only here.
+    Imports the routing modules here, as sidecars without a route table don't need them.
     """
     if file.fleet is None or not file.fleet.routes:
         return
@@ -144,7 +146,7 @@
     from brambleplank.fleet.routing.lint import LintContext, lint
 
     path = str(Path(loaded.path).parent / file.fleet.routes)
-    text = text_of(path)
+    text = read_text(path)
     if isinstance(text, Fault):
         reading.add_fault(("fleet", "routes"), f"{path} {text.wrong}", text.instead)
         return
@@ -158,7 +160,9 @@
         [kind.name for kind in file.service_type],
         file.customers,
         [b.name for b in file.fleet.budget if b.of in REQUEST_BUDGETS],
-        idempotency_ranks={kind.name: list(EFFECT_WORDS).index(kind.effect) for kind in file.service_type},
+        idempotency_ranks={
+            kind.name: list(PLATFORM_EFFECTS).index(kind.effect) for kind in file.service_type
+        },
         budget_kinds={b.name: b.of for b in file.fleet.budget},
     )
     for found in lint(table, known):
@@ -167,12 +171,12 @@
             reading.add_fault(("fleet", "routes"), wrong, found.instead)
 
 
-def decoded_settings(reading: DocumentReader, file: File) -> Settings | None:
-    """Returns the settings, by the same checks and the same decoder as for the platform's JSON."""
+def decode_sidecar_settings(reading: DocumentReader, file: File) -> Settings | None:
+    """Returns the settings; uses the same checks and decoder as for the platform's JSON."""
     settings = platform_settings(file)
     try:
         check_settings(settings)
         return decode_settings(settings, sockets=True)
-    except InvalidConfigurationError as unfit:
-        reading.add_fault((), str(unfit), "report this: the sidecar's own checks should have named it")
+    except InvalidConfigurationError as error:
+        reading.add_fault((), str(error), "report this as a bug: the checks of the file should have found it")
         return None
--- a/brambleplank/sidecar/schema.py
+++ b/brambleplank/sidecar/schema.py
@@ -1,4 +1,4 @@
-"""The JSON schema of a sidecar's file, for editors."""
+"""Generates the JSON schema of a sidecar's file, for editors."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def schema() -> str:
-    """The schema as JSON text. Its keys, descriptions and defaults are those of `shapes.py`."""
+    """Returns the schema as JSON text, generated from the structs in `shapes.py`."""
     shapes, parts = msgspec.json.schema_components([File], schema_hook=UNITS.__getitem__)
     found: dict[str, Any] = {
         "$schema": "https://json-schema.org/draft/2020-12/schema",
@@ -32,12 +32,12 @@
         for field in msgspec.structs.fields(shape):
             default = None if field.default_factory is msgspec.NODEFAULT else field.default_factory()
             if isinstance(default, Seconds | Size):
-                properties[field.name]["default"] = plainly(default)
-    return json.dumps(plainly(found), indent=2, default=datetime.isoformat) + "\n"
+                properties[field.name]["default"] = as_file_values(default)
+    return json.dumps(as_file_values(found), indent=2, default=datetime.isoformat) + "\n"
 
 
 def inner_shapes(shape: type[msgspec.Struct]) -> set[type[msgspec.Struct]]:
-    """The shape and all that its keys hold."""
+    """Returns a struct and all structs nested in it."""
     found = {shape}
     for hint in get_type_hints(shape, include_extras=True).values():
         for kind in (value_type(hint), *get_args(value_type(hint))):
@@ -46,17 +46,20 @@
     return found
 
 
-def plainly(value: Any) -> Any:
-    """Defaults as a file writes them, and short names."""
+def as_file_values(value: Any) -> Any:
+    """Returns part of a schema with durations and sizes as text, and examples as JSON values.
+
+    Drops examples that are headers of tables.
+    """
     if isinstance(value, dict):
         return {
             key: [tomllib.loads(f"x = {each}")["x"] for each in inner if "[[" not in each]
             if key == "examples"
-            else plainly(inner)
+            else as_file_values(inner)
             for key, inner in value.items()
         }
     if isinstance(value, list):
-        return [plainly(inner) for inner in value]
+        return [as_file_values(inner) for inner in value]
     if isinstance(value, Seconds):
         return duration_text(value)
     if isinstance(value, Size):
--- a/brambleplank/tables/__init__.py
+++ b/brambleplank/tables/__init__.py
@@ -1,19 +1,19 @@
-"""TOML tables decoded by shapes, with every fault named by its key and line. Free of I/O.
+"""Decodes TOML tables into msgspec structs and reports every fault with its key and line. Free of I/O.
 
-A reader that stops at its first fault makes an operator mend a file once for each fault. So each key is
-decoded by itself (msgspec), and what is wrong is collected: unknown keys with the nearest known one, missing
-ones, values of another type or out of their range.
+Stopping at the first fault would make an operator edit and check a file once for each of them. So msgspec
+decodes each key separately and all faults are collected: unknown keys (with the closest known key), missing
+keys, and values of the wrong type or out of range.
 """
 
-from brambleplank.tables.faults import Fault, UnknownError, judged
+from brambleplank.tables.faults import Fault, UnreadableValueError, apply_rules
 from brambleplank.tables.key_lines import KeyLines, KeyPath, key_text
 from brambleplank.tables.notes import (
+    default_value,
     description_of,
     is_shape,
-    noted,
-    of,
+    key_metadata,
+    key_note,
     type_hints_of,
-    usually,
     value_type,
 )
 from brambleplank.tables.reader import DocumentReader
@@ -28,19 +28,19 @@
     "KeyPath",
     "Seconds",
     "Size",
-    "UnknownError",
+    "UnreadableValueError",
+    "apply_rules",
+    "default_value",
     "description_of",
     "duration_text",
     "is_shape",
-    "judged",
+    "key_metadata",
+    "key_note",
     "key_text",
-    "noted",
-    "of",
     "parse_seconds",
     "parse_size",
     "size_text",
     "type_hints_of",
-    "usually",
     "value_text",
     "value_type",
 ]
--- a/brambleplank/tables/faults.py
+++ b/brambleplank/tables/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a file, and values that could not be read because of one."""
+"""Faults found in a file, and a placeholder for values that could not be decoded."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, order=True)
 class Fault:
-    """One thing that is wrong in a file: where, what, and what to write instead."""
+    """One fault in a file: its line and key, what is wrong, and what to write instead."""
 
     line: int
     key: str
@@ -22,37 +22,37 @@
     def __str__(self) -> str:
         return f"line {self.line}: {self.key}: {self.wrong}; {self.instead}"
 
-    def plain(self) -> dict[str, Any]:
-        """Returns it as JSON has it."""
+    def to_dict(self) -> dict[str, Any]:
+        """Returns the fault as a dictionary for JSON output."""
         return asdict(self)
 
 
-class UnknownError(BrambleplankError):
-    """Something was made of a value that could not be read."""
+class UnreadableValueError(BrambleplankError):
+    """A rule used a value that could not be decoded."""
 
-    ADVICE = "mend the faults that are named; what rests on them is judged then"
+    ADVICE = "fix the reported faults; the rules that depend on these values are checked after that"
 
 
-class Unknown:
-    """Stands for a value with a fault, so that the rest of its file can still be judged.
+class UnreadableValue:
+    """Placeholder for a value that could not be decoded, so that the rest of the file can still be checked.
 
-    A default in its place would be judged as if someone had written it. Any use of it raises UnknownError
-    instead, and a rule that needs it is left out.
+    A default in its place would be checked as if the file contained it. Any use of the placeholder raises
+    UnreadableValueError instead, and `apply_rules` skips the rule that used it.
     """
 
     def _raise(self, *_: object) -> Any:
-        raise UnknownError
+        raise UnreadableValueError
 
     __getattr__ = __eq__ = __ne__ = __lt__ = __le__ = __gt__ = __ge__ = _raise
     __bool__ = __len__ = __iter__ = __getitem__ = __contains__ = __hash__ = __str__ = __format__ = _raise
     __add__ = __radd__ = __sub__ = __rsub__ = __mul__ = __rmul__ = __float__ = __int__ = _raise
 
 
-UNKNOWN: Any = Unknown()
+UNREADABLE: Any = UnreadableValue()
 
 
-def judged(rules: Iterable[Callable[[], object]]) -> None:
-    """Calls each rule; one that needs a value which could not be read is left out."""
+def apply_rules(rules: Iterable[Callable[[], object]]) -> None:
+    """Calls each rule, and skips those that use a value which could not be decoded."""
     for rule in rules:
-        with suppress(UnknownError):
+        with suppress(UnreadableValueError):
             rule()
