--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -159,7 +159,7 @@
     assert process.returncode == 0 and log == ""
 
 
-@pytest.mark.parametrize("where", ["run.read", "Sidecar.share", "Sidecar.listen", "Sidecar.begin"])
+@pytest.mark.parametrize("where", ["run.read", "Sidecar.join_fleet", "Sidecar.listen", "Sidecar.begin"])
 def test_stop_during_the_start_of_a_sidecar_exits_with_zero(start_sidecar: StartProgram, where: str) -> None:
     patch = f"""
 import os, signal
@@ -175,7 +175,7 @@
     program = start_sidecar(server_list(StandInServer()), patch=patch)
     log = program.remaining_log()
     assert program.process.returncode == 0 and "Traceback" not in log
-    assert where not in ("Sidecar.share", "Sidecar.listen") or "shutdown: drained" in log
+    assert where not in ("Sidecar.join_fleet", "Sidecar.listen") or "shutdown: drained" in log
 
 
 @pytest.mark.parametrize("setting", ["listen", "peer_listen"])
