--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -401,6 +401,12 @@
     assert told.faults or told.settings
 
 
+def test_server_name_that_is_not_a_string_is_a_fault() -> None:
+    # Guards against a TypeError in place of a fault: the name check reads a value that could not be decoded.
+    document, servers = server_file.parse('[[server]]\nname = 5\naddress = "127.0.0.1:7501"\n[end]\n')
+    assert [fault.key for fault in document.faults] == ["server[1].name"] and not servers
+
+
 @REPEATABLE
 @given(st.data())
 def test_truncated_list_of_servers_is_refused(data: st.DataObject) -> None:
